--- a/cmd/cinderslip/client.go
+++ b/cmd/cinderslip/client.go
@@ -50,7 +50,7 @@
 	lines := []string{e.Title + ":"}
 	for _, conflict := range e.Conflicts {
 		lines = append(lines, fmt.Sprintf("  row %s, column %s: edit %s wants %q, edit %s by %q made it %q",
-			conflict.Key, conflict.Column, conflict.Edit, conflict.Wanted, conflict.Other, conflict.Author, conflict.Current))
+			conflict.Key, conflict.Column, conflict.Edit, conflict.Requested, conflict.OtherEdit, conflict.OtherAuthor, conflict.Current))
 	}
 	for _, finding := range e.Findings {
 		lines = append(lines, "  "+finding.String())
@@ -130,15 +130,15 @@
 	return answer, err
 }
 
-func (c *client) history(ctx context.Context) ([]table.Record, error) {
-	var records []table.Record
+func (c *client) history(ctx context.Context) ([]table.EditRecord, error) {
+	var records []table.EditRecord
 	err := c.call(ctx, http.MethodGet, "/v1/table/history", nil, nil, &records)
 	return records, err
 }
 
 // edit reads back the record of an edit; found is false if the table does not
 // hold it.
-func (c *client) edit(ctx context.Context, id table.EditID) (record table.Record, found bool, err error) {
+func (c *client) edit(ctx context.Context, id table.EditID) (record table.EditRecord, found bool, err error) {
 	err = c.call(ctx, http.MethodGet, "/v1/table/edits/"+url.PathEscape(string(id)), nil, nil, &record)
 	var problem *problemError
 	if errors.As(err, &problem) && problem.Status == http.StatusNotFound {
--- a/cmd/cinderslip/rollout.go
+++ b/cmd/cinderslip/rollout.go
@@ -30,7 +30,7 @@
 	}
 	writer := newTableWriter(env.stdout, "model", "version", "box", "phase", "chunks", "waits")
 	for _, copied := range copiesOf(answer) {
-		writer.AppendRow(table.Row{copied.Model, copied.Version, copied.box, copied.Phase, copied.chunks(), copied.Waits})
+		writer.AppendRow(table.Row{copied.Model, copied.Version, copied.box, copied.Phase, copied.chunks(), copied.WaitReason})
 	}
 	writer.Render()
 	return nil
@@ -46,13 +46,13 @@
 const phaseAbsent member.Phase = "not started"
 
 func (b boxCopy) chunks() string {
-	if b.Total == 0 {
+	if b.TotalChunks == 0 {
 		return ""
 	}
 	if b.Phase == member.PhaseLive {
-		return fmt.Sprintf("%d/%d", b.Total, b.Total)
+		return fmt.Sprintf("%d/%d", b.TotalChunks, b.TotalChunks)
 	}
-	return fmt.Sprintf("%d/%d", b.Chunks, b.Total)
+	return fmt.Sprintf("%d/%d", b.HeldChunks, b.TotalChunks)
 }
 
 // copiesOf joins what the plan wants with what the boxes say.
@@ -76,7 +76,7 @@
 	return copies
 }
 
-func copyOn(record member.Record, w plan.Weights) member.Copy {
+func copyOn(record member.Record, w plan.PinnedVersion) member.Copy {
 	for _, held := range record.Copies {
 		if held.Manifest == w.Manifest {
 			return held
@@ -84,7 +84,7 @@
 	}
 	out := member.Copy{Model: w.Model, Version: w.Version, Manifest: w.Manifest, Phase: phaseAbsent}
 	if record.Status != member.StatusUp {
-		out.Waits = "box is " + string(record.Status)
+		out.WaitReason = "box is " + string(record.Status)
 	}
 	return out
 }
@@ -108,8 +108,8 @@
 		case copied.Phase == member.PhaseLive:
 			p.done += quartersPerBox
 			p.live++
-		case copied.Total > 0:
-			p.done += int64(copied.Chunks * (quartersPerBox - 1) / copied.Total)
+		case copied.TotalChunks > 0:
+			p.done += int64(copied.HeldChunks * (quartersPerBox - 1) / copied.TotalChunks)
 		}
 		all[name] = p
 	}
@@ -120,7 +120,7 @@
 // every version that it names.
 func isPlanned(answer daemon.StatusAnswer) bool {
 	for _, row := range answer.Rows {
-		if row.Plan.Target != row.Version || row.Plan.Waits != "" {
+		if row.Plan.Target != row.Version || row.Plan.WaitReason != "" {
 			return false
 		}
 	}
--- a/cmd/cinderslip/status.go
+++ b/cmd/cinderslip/status.go
@@ -28,7 +28,7 @@
 	for _, row := range answer.Rows {
 		writer.AppendRow(table.Row{
 			row.Group, row.Model, fmt.Sprintf("%.3f", row.Plan.Share), row.Plan.Serving, row.Plan.Target,
-			row.Plan.Live, row.Plan.Replicas, row.Plan.Waits,
+			row.Plan.Live, row.Plan.Replicas, row.Plan.WaitReason,
 		})
 	}
 	writer.Render()
--- a/cmd/cinderslip/table.go
+++ b/cmd/cinderslip/table.go
@@ -198,7 +198,7 @@
 	return withCode(exitRefused, errors.New(strings.Join(lines, "\n")))
 }
 
-func describe(record cells.Record) string {
+func describe(record cells.EditRecord) string {
 	parts := make([]string, 0, len(record.Changes))
 	for _, change := range record.Changes {
 		parts = append(parts, describeChange(change))
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -72,7 +72,7 @@
 	}
 	if role == member.RoleAgent {
 		record.Models, record.Slots = []table.Model{"kakiwake"}, 2
-		record.Copies = []member.Copy{{Model: "kakiwake", Version: "2026.12", Manifest: weights.Sum([]byte("m")), Phase: member.PhaseLive, Total: 3500}}
+		record.Copies = []member.Copy{{Model: "kakiwake", Version: "2026.12", Manifest: weights.Sum([]byte("m")), Phase: member.PhaseLive, TotalChunks: 3500}}
 	}
 	return record
 }
@@ -91,7 +91,7 @@
 		item, err := record.Item()
 		require.NoError(b, err)
 		items = append(items, item)
-		add(plan.BoxPrefix+string(record.Box), plan.Assignment{Weights: []plan.Weights{
+		add(plan.BoxPrefix+string(record.Box), plan.Assignment{Versions: []plan.PinnedVersion{
 			{Model: "kakiwake", Version: "2026.12", Manifest: weights.Sum([]byte("m"))},
 		}})
 	}
@@ -228,7 +228,7 @@
 	awaitEverywhere(b, entries, func(e *benchEntry) bool { return len(e.view.Members()) == count })
 	time.Sleep(2 * pullRetry)
 	key := plan.BoxPrefix + "box"
-	value, err := state.Encode(plan.Assignment{Weights: []plan.Weights{{Model: "kakiwake", Version: "2026.12", Manifest: weights.Sum([]byte("m"))}}})
+	value, err := state.Encode(plan.Assignment{Versions: []plan.PinnedVersion{{Model: "kakiwake", Version: "2026.12", Manifest: weights.Sum([]byte("m"))}}})
 	require.NoError(b, err)
 	for _, e := range entries {
 		e.bytes.Store(0)
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -62,7 +62,7 @@
 	metrics *Metrics
 	forward *forwarder
 	budget  *route.Budget
-	duties  *kernel.Duties
+	duties  *kernel.TaskGroup
 	server  *http.Server
 	leaving atomic.Bool
 
@@ -94,7 +94,7 @@
 		clock: options.Clock, log: options.Log, metrics: options.Metrics,
 		forward:    &forwarder{peers: options.Peers, clock: options.Clock, metrics: options.Metrics},
 		budget:     route.NewBudget(retryRatio, retryBurst),
-		duties:     kernel.NewDuties(),
+		duties:     kernel.NewTaskGroup(),
 		admissions: make(map[member.Service]*route.Admission),
 	}
 	router := newEcho()
--- a/internal/daemon/chunks.go
+++ b/internal/daemon/chunks.go
@@ -45,7 +45,7 @@
 	if !ok {
 		return &wire.ManifestResponse{}, nil
 	}
-	return &wire.ManifestResponse{Content: manifest.Content()}, nil
+	return &wire.ManifestResponse{Content: manifest.Raw()}, nil
 }
 
 // Fetch sends one chunk in frames.
--- a/internal/daemon/configuration.go
+++ b/internal/daemon/configuration.go
@@ -55,7 +55,7 @@
 	log     zerolog.Logger
 	metrics *Metrics
 	isRelay func() bool
-	duties  *kernel.Duties
+	duties  *kernel.TaskGroup
 	wake    chan struct{}
 	watched chan provider.Revision
 }
@@ -66,7 +66,7 @@
 ) *Configuration {
 	c := &Configuration{
 		kv: kv, sources: sources, replica: replica, clock: clock, log: log, metrics: metrics, isRelay: isRelay,
-		duties:  kernel.NewDuties(),
+		duties:  kernel.NewTaskGroup(),
 		wake:    make(chan struct{}, 1),
 		watched: make(chan provider.Revision, 1),
 	}
@@ -251,17 +251,17 @@
 }
 
 // Find reads an edit's record back.
-func (c *Configuration) Find(ctx context.Context, id table.EditID) (table.Record, bool, error) {
+func (c *Configuration) Find(ctx context.Context, id table.EditID) (table.EditRecord, bool, error) {
 	held, _, err := c.load(ctx)
 	if err != nil {
-		return table.Record{}, false, err
+		return table.EditRecord{}, false, err
 	}
 	record, done := held.Find(id)
 	return record, done, nil
 }
 
 // History returns the records that are kept, oldest first.
-func (c *Configuration) History(ctx context.Context) ([]table.Record, error) {
+func (c *Configuration) History(ctx context.Context) ([]table.EditRecord, error) {
 	held, _, err := c.load(ctx)
 	if err != nil {
 		return nil, err
--- a/internal/daemon/copier.go
+++ b/internal/daemon/copier.go
@@ -43,7 +43,7 @@
 // is live, and drains and unloads what is no longer wanted.
 type Copier struct {
 	options CopierOptions
-	duties  *kernel.Duties
+	duties  *kernel.TaskGroup
 	assign  chan assigned
 
 	mu      sync.Mutex
@@ -56,7 +56,7 @@
 
 // copyJob is one version on its way to live and out again.
 type copyJob struct {
-	weights plan.Weights
+	weights plan.PinnedVersion
 	cancel  context.CancelFunc
 	done    chan struct{}
 	// fence is the newest plan that wants the version.
@@ -76,7 +76,7 @@
 func NewCopier(options CopierOptions) *Copier {
 	c := &Copier{
 		options: options,
-		duties:  kernel.NewDuties(),
+		duties:  kernel.NewTaskGroup(),
 		assign:  make(chan assigned, 1),
 		copies:  make(map[weights.Digest]*copyJob),
 
@@ -153,7 +153,7 @@
 func (c *Copier) adopt(ctx context.Context, next assigned) {
 	fence := provider.Fence{Epoch: next.version.Major, Sequence: next.version.Minor}
 	wanted := make(map[weights.Digest]bool)
-	for _, w := range next.Weights {
+	for _, w := range next.Versions {
 		wanted[w.Manifest] = true
 		c.want(ctx, w, fence)
 	}
@@ -185,7 +185,7 @@
 	delete(c.dropping, manifest)
 }
 
-func (c *Copier) want(ctx context.Context, w plan.Weights, fence provider.Fence) {
+func (c *Copier) want(ctx context.Context, w plan.PinnedVersion, fence provider.Fence) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if job, running := c.copies[w.Manifest]; running {
@@ -332,7 +332,7 @@
 	}
 	return c.options.Engine.Order(ctx, provider.Order{
 		Kind: provider.OrderLoad, Model: job.weights.Model, Version: job.weights.Version, Manifest: manifest.Digest(),
-		Chunks: len(manifest.Chunks), Whole: manifest.Whole, Fence: job.currentFence(),
+		Chunks: len(manifest.Chunks), Whole: manifest.WholeDigest, Fence: job.currentFence(),
 	})
 }
 
@@ -378,7 +378,7 @@
 	}
 	next := member.Copy{
 		Model: job.weights.Model, Version: job.weights.Version, Manifest: job.weights.Manifest,
-		Phase: phase, Chunks: chunks, Total: total, Waits: waits,
+		Phase: phase, HeldChunks: chunks, TotalChunks: total, WaitReason: waits,
 	}
 	if slices.Contains(c.options.Heart.Record().Copies, next) {
 		return
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -56,7 +56,7 @@
 
 // Process is one running role.
 type Process struct {
-	kernel   *kernel.Kernel
+	kernel   *kernel.Registry
 	settings *settings.Settings
 	options  Options
 	metrics  *Metrics
--- a/internal/daemon/fetch.go
+++ b/internal/daemon/fetch.go
@@ -45,7 +45,7 @@
 }
 
 type fetchResult struct {
-	task weights.Task
+	task weights.FetchTask
 	data []byte
 	err  error
 }
@@ -108,7 +108,7 @@
 	f.picker.SetNeighbours(f.job.neighbours)
 	if len(f.job.drawers) > 0 && f.job.drawerHash != f.drawerHash {
 		f.drawerHash = f.job.drawerHash
-		f.picker.SetDrawers(f.job.drawers)
+		f.picker.SetOriginFetchers(f.job.drawers)
 	}
 }
 
@@ -132,7 +132,7 @@
 func (f *fetch) take(result fetchResult) error {
 	metrics := f.copier.options.Metrics
 	from := "peer"
-	if result.task.IsDraw() {
+	if result.task.FromOrigin() {
 		from = "source"
 	}
 	err := result.err
@@ -145,7 +145,7 @@
 		f.picker.Done(result.task, f.copier.options.Clock.Now())
 		f.tellProgress()
 		return nil
-	case errors.Is(err, weights.ErrFull):
+	case errors.Is(err, weights.ErrStoreFull):
 		return err
 	}
 	metrics.chunkFaults.WithLabelValues(from, faultLabel(err)).Inc()
@@ -156,7 +156,7 @@
 
 func faultLabel(err error) string {
 	switch {
-	case errors.Is(err, weights.ErrDigest):
+	case errors.Is(err, weights.ErrDigestMismatch):
 		return "digest"
 	case errors.Is(err, errStalled):
 		return "stalled"
@@ -177,8 +177,8 @@
 	}
 }
 
-func (f *fetch) transfer(ctx context.Context, task weights.Task) ([]byte, error) {
-	if task.IsDraw() {
+func (f *fetch) transfer(ctx context.Context, task weights.FetchTask) ([]byte, error) {
+	if task.FromOrigin() {
 		return f.draw(ctx, task.Chunk)
 	}
 	address, ok := f.job.address(task.From)
@@ -225,7 +225,7 @@
 		case err != nil:
 			return nil, err
 		case int64(len(data)+len(frame.Data)) > size:
-			return nil, fmt.Errorf("chunk %d is longer than %d bytes: %w", index, size, weights.ErrDigest)
+			return nil, fmt.Errorf("chunk %d is longer than %d bytes: %w", index, size, weights.ErrDigestMismatch)
 		}
 		data = append(data, frame.Data...)
 		stall.Reset(stallTimeout)
@@ -235,7 +235,7 @@
 // askHoldings asks each neighbour that has answered the last time.
 func (f *fetch) askHoldings(ctx context.Context) {
 	digest := f.manifest.Digest()
-	for _, box := range f.picker.Ask() {
+	for _, box := range f.picker.BoxesToPoll() {
 		address, ok := f.job.address(box)
 		if f.asked[box] || !ok {
 			continue
--- a/internal/daemon/fetch_test.go
+++ b/internal/daemon/fetch_test.go
@@ -59,7 +59,7 @@
 		Self: "self", Peers: newTestPeers(t), Store: f.store, Sources: []provider.WeightSource{f.platform.source},
 		Engine: provider.NewEngine(serveHTTP(t, f.engine), f.platform.client), Gate: f.gate, Heart: f.heart,
 		Clock: clock, Log: quiet(), Metrics: f.metrics,
-		Picker: weights.PickerOptions{Window: 2, DrawWindow: 4, DrawWait: 50 * time.Millisecond, Strikes: 3},
+		Picker: weights.PickerOptions{NeighbourWindow: 2, OriginWindow: 4, RankDelay: 50 * time.Millisecond, MaxFailures: 3},
 	})
 	t.Cleanup(func() { stopService(t, f.copier) })
 	return f
@@ -69,7 +69,7 @@
 func (f *fetching) assign(sequence uint64, manifest weights.Digest) {
 	next := assigned{version: state.Version{Major: 1, Minor: sequence}}
 	if !manifest.IsZero() {
-		next.Weights = []plan.Weights{{Model: "kakiwake", Version: "v1", Manifest: manifest}}
+		next.Versions = []plan.PinnedVersion{{Model: "kakiwake", Version: "v1", Manifest: manifest}}
 	}
 	f.copier.assign <- next
 }
@@ -116,7 +116,7 @@
 }
 
 func (p *fakePeer) Manifest(context.Context, *wire.ManifestRequest) (*wire.ManifestResponse, error) {
-	return &wire.ManifestResponse{Content: p.manifest.Content()}, nil
+	return &wire.ManifestResponse{Content: p.manifest.Raw()}, nil
 }
 
 func (p *fakePeer) Fetch(request *wire.FetchRequest, stream wire.DRPCChunks_FetchStream) error {
@@ -150,7 +150,7 @@
 	orders := f.engine.Orders()
 	require.Len(t, orders, 1)
 	require.Equal(t, provider.Fence{Epoch: 1, Sequence: 3}, orders[0].Fence)
-	require.Equal(t, f.manifest.Whole, orders[0].Whole)
+	require.Equal(t, f.manifest.WholeDigest, orders[0].Whole)
 	_, refusal, _ := f.gate.enter(&wire.RequestHead{
 		RequestId: "r", Attempt: "r/1", Service: "kakiwake", Version: "v1", Incarnation: uint64(f.heart.Record().Incarnation),
 	})
@@ -203,7 +203,7 @@
 	f.swarm(t, nil, "self")
 	eventually(t, func() bool {
 		copies := f.heart.Record().Copies
-		return len(copies) == 1 && copies[0].Waits != ""
+		return len(copies) == 1 && copies[0].WaitReason != ""
 	}, "the record says why the copy waits")
 	f.platform.registry.SetFault(nil)
 	eventually(t, f.isLive, "the version is live")
@@ -264,7 +264,7 @@
 	f.swarm(t, nil, "self")
 	eventually(t, func() bool {
 		copies := f.heart.Record().Copies
-		return len(copies) == 1 && copies[0].Waits != ""
+		return len(copies) == 1 && copies[0].WaitReason != ""
 	}, "the record says why")
 	require.Empty(t, f.engine.Orders())
 	require.LessOrEqual(t, f.store.Used(), int64(3*testChunk))
--- a/internal/daemon/heart.go
+++ b/internal/daemon/heart.go
@@ -36,7 +36,7 @@
 // Heart holds the box's own record and sends heartbeats to its monitors.
 type Heart struct {
 	options HeartOptions
-	duties  *kernel.Duties
+	duties  *kernel.TaskGroup
 	kick    chan struct{}
 
 	mu     sync.Mutex
@@ -53,7 +53,7 @@
 	record.Status = member.StatusUp
 	h := &Heart{
 		options: options, record: record,
-		duties: kernel.NewDuties(),
+		duties: kernel.NewTaskGroup(),
 		kick:   make(chan struct{}, 1),
 		known:  make(map[member.Address]state.Version),
 	}
--- a/internal/daemon/lister.go
+++ b/internal/daemon/lister.go
@@ -36,7 +36,7 @@
 	clock   clockwork.Clock
 	log     zerolog.Logger
 	isRelay func() bool
-	duties  *kernel.Duties
+	duties  *kernel.TaskGroup
 
 	mu      sync.Mutex
 	entries []member.Address
@@ -47,7 +47,7 @@
 func NewLister(list provider.BoxList, view *View, replica *Replica, clock clockwork.Clock, log zerolog.Logger, isRelay func() bool) *Lister {
 	l := &Lister{
 		list: list, view: view, replica: replica, clock: clock, log: log, isRelay: isRelay,
-		duties: kernel.NewDuties(), absent: make(map[member.BoxID]int),
+		duties: kernel.NewTaskGroup(), absent: make(map[member.BoxID]int),
 	}
 	l.duties.Go(l.follow)
 	return l
--- a/internal/daemon/monitor.go
+++ b/internal/daemon/monitor.go
@@ -27,7 +27,7 @@
 	clock   clockwork.Clock
 	log     zerolog.Logger
 	heard   *member.Monitor
-	duties  *kernel.Duties
+	duties  *kernel.TaskGroup
 	metrics *Metrics
 	peers   *Peers
 	own     member.Address
@@ -43,7 +43,7 @@
 		own: own, view: view, replica: replica, peers: peers, clock: clock, log: log, metrics: metrics,
 		patience: silence / 2,
 		heard:    member.NewMonitor(silence),
-		duties:   kernel.NewDuties(),
+		duties:   kernel.NewTaskGroup(),
 	}
 	m.duties.Go(func(ctx context.Context) { m.watch(ctx, silence/4) })
 	return m
@@ -67,10 +67,10 @@
 		if now.Sub(last) > 2*interval {
 			// This process itself stood still, so what it has not heard says
 			// nothing about the others.
-			m.heard.Excuse(now)
+			m.heard.ResetAll(now)
 		}
 		last = now
-		for _, box := range m.heard.Silent(now) {
+		for _, box := range m.heard.RemoveSilent(now) {
 			m.duties.Go(func(ctx context.Context) { m.suspect(ctx, box) })
 		}
 	}
@@ -104,7 +104,7 @@
 			return
 		}
 		if got.alive {
-			m.heard.Heard(box, m.clock.Now())
+			m.heard.RecordHeartbeat(box, m.clock.Now())
 			return
 		}
 	}
@@ -122,7 +122,7 @@
 
 // Heard answers another monitor.
 func (m *Monitor) Heard(_ context.Context, request *wire.HeardRequest) (*wire.HeardResponse, error) {
-	return &wire.HeardResponse{Heard: m.heard.HeardLately(member.BoxID(request.Box), m.clock.Now())}, nil
+	return &wire.HeardResponse{Heard: m.heard.HasRecentHeartbeat(member.BoxID(request.Box), m.clock.Now())}, nil
 }
 
 // markSilent publishes the version directly above the box's own.
@@ -145,7 +145,7 @@
 // Heartbeat answers a box.
 func (m *Monitor) Heartbeat(_ context.Context, request *wire.HeartbeatRequest) (*wire.HeartbeatResponse, error) {
 	box := member.BoxID(request.Box)
-	m.heard.Heard(box, m.clock.Now())
+	m.heard.RecordHeartbeat(box, m.clock.Now())
 	m.metrics.heartbeats.Inc()
 	if len(request.Record) > 0 {
 		if err := m.publish(request.Record); err != nil {
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -33,7 +33,7 @@
 type Operators struct {
 	options OperatorsOptions
 	token   string
-	duties  *kernel.Duties
+	duties  *kernel.TaskGroup
 	server  *http.Server
 }
 
@@ -54,7 +54,7 @@
 
 // NewOperators starts to answer on a listener.
 func NewOperators(listener net.Listener, options OperatorsOptions) (*Operators, error) {
-	o := &Operators{options: options, duties: kernel.NewDuties()}
+	o := &Operators{options: options, duties: kernel.NewTaskGroup()}
 	if options.TokenFile != "" {
 		content, err := os.ReadFile(options.TokenFile)
 		if err != nil {
@@ -251,8 +251,8 @@
 
 // BoxWanted is what the plan wants on a box.
 type BoxWanted struct {
-	Box     member.BoxID   `json:"box"`
-	Weights []plan.Weights `json:"weights"`
+	Box     member.BoxID         `json:"box"`
+	Weights []plan.PinnedVersion `json:"weights"`
 }
 
 func (o *Operators) getStatus(e echo.Context) error {
@@ -267,7 +267,7 @@
 	}
 	for _, record := range answer.Boxes {
 		if assignment, ok := current.Boxes[record.Box]; ok {
-			answer.Wanted = append(answer.Wanted, BoxWanted{Box: record.Box, Weights: assignment.Weights})
+			answer.Wanted = append(answer.Wanted, BoxWanted{Box: record.Box, Weights: assignment.Versions})
 		}
 	}
 	return e.JSON(http.StatusOK, answer)
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -96,13 +96,13 @@
 // PeerServer answers the calls of other processes.
 type PeerServer struct {
 	mux    *drpcmux.Mux
-	duties *kernel.Duties
+	duties *kernel.TaskGroup
 }
 
 // NewPeerServer returns a server on a listener; register what it answers with
 // the mux before anyone is told of the address.
 func NewPeerServer(listener net.Listener, mux *drpcmux.Mux, log zerolog.Logger) *PeerServer {
-	s := &PeerServer{mux: mux, duties: kernel.NewDuties()}
+	s := &PeerServer{mux: mux, duties: kernel.NewTaskGroup()}
 	server := drpcserver.NewWithOptions(mux, drpcserver.Options{Manager: managerOptions()})
 	s.duties.Go(func(ctx context.Context) {
 		if err := server.Serve(ctx, listener); err != nil && ctx.Err() == nil {
--- a/internal/daemon/planner.go
+++ b/internal/daemon/planner.go
@@ -64,7 +64,7 @@
 	log     zerolog.Logger
 	metrics *Metrics
 	isRelay func() bool
-	duties  *kernel.Duties
+	duties  *kernel.TaskGroup
 	options plan.Options
 	// heartbeat is the time between the heartbeats of a box.
 	heartbeat time.Duration
@@ -83,7 +83,7 @@
 	p := &Planner{
 		self: self, kv: kv, sources: sources, view: view, replica: replica,
 		clock: clock, log: log, metrics: metrics, isRelay: isRelay,
-		duties:    kernel.NewDuties(),
+		duties:    kernel.NewTaskGroup(),
 		options:   plan.DefaultOptions(),
 		heartbeat: heartbeat,
 		resolved:  make(chan struct{}, 1),
--- a/internal/daemon/planner_test.go
+++ b/internal/daemon/planner_test.go
@@ -111,7 +111,7 @@
 }
 
 func TestPlanItemsHoldOnlyWhatChanged(t *testing.T) {
-	box := plan.Assignment{Weights: []plan.Weights{{Model: "m", Version: "v1"}}}
+	box := plan.Assignment{Versions: []plan.PinnedVersion{{Model: "m", Version: "v1"}}}
 	before := plan.Plan{
 		Boxes: map[member.BoxID]plan.Assignment{"a": box, "b": box, "gone": box},
 		Rows:  map[table.Key]plan.RowPlan{{Group: "g", Model: "m"}: {Serving: "v1"}},
--- a/internal/daemon/replica.go
+++ b/internal/daemon/replica.go
@@ -42,7 +42,7 @@
 	clock  clockwork.Clock
 	log    zerolog.Logger
 	links  func() Links
-	duties *kernel.Duties
+	duties *kernel.TaskGroup
 
 	mu       sync.Mutex
 	pending  map[string]bool
@@ -56,7 +56,7 @@
 func NewReplica(store *state.Store, peers *Peers, clock clockwork.Clock, log zerolog.Logger, links func() Links) *Replica {
 	r := &Replica{
 		store: store, peers: peers, clock: clock, log: log, links: links,
-		duties:  kernel.NewDuties(),
+		duties:  kernel.NewTaskGroup(),
 		pending: make(map[string]bool),
 		kick:    make(chan struct{}, 1),
 		pulling: make(map[string]context.CancelFunc),
--- a/internal/daemon/steps.go
+++ b/internal/daemon/steps.go
@@ -287,9 +287,9 @@
 		return err
 	}
 	picker := weights.DefaultPickerOptions()
-	picker.DrawWait = time.Duration(p.settings.Weights.DrawWait)
+	picker.RankDelay = time.Duration(p.settings.Weights.DrawWait)
 	if p.settings.Weights.Prefer == settings.PreferSoonestLive {
-		picker.DrawWait /= soonestPart
+		picker.RankDelay /= soonestPart
 	}
 	copier := NewCopier(CopierOptions{
 		Self: member.BoxID(p.settings.Box), Peers: p.peers, Store: store, Sources: p.sources(),
--- a/internal/daemon/swarm.go
+++ b/internal/daemon/swarm.go
@@ -44,7 +44,7 @@
 	peers := make([]weights.Peer, 0, len(told))
 	for _, peer := range told {
 		j.addresses[peer.Box] = member.Address(peer.Address)
-		peers = append(peers, weights.Peer{Box: peer.Box, Far: peer.Far})
+		peers = append(peers, weights.Peer{Box: peer.Box, Remote: peer.Far})
 	}
 	return peers
 }
@@ -68,7 +68,7 @@
 			return manifest, nil
 		}
 		if rank, known := job.rank(string(c.options.Self)); known {
-			due := started.Add(time.Duration(rank) * c.options.Picker.DrawWait)
+			due := started.Add(time.Duration(rank) * c.options.Picker.RankDelay)
 			if !c.options.Clock.Now().Before(due) {
 				return c.manifestFromSource(ctx, job)
 			}
--- a/internal/daemon/view.go
+++ b/internal/daemon/view.go
@@ -38,7 +38,7 @@
 	store  *state.Store
 	log    zerolog.Logger
 	router *route.Router
-	duties *kernel.Duties
+	duties *kernel.TaskGroup
 
 	mu      sync.RWMutex
 	members map[member.BoxID]member.Record
@@ -66,7 +66,7 @@
 	v := &View{
 		store: store, log: log,
 		router:   route.NewRouter(region),
-		duties:   kernel.NewDuties(),
+		duties:   kernel.NewTaskGroup(),
 		members:  make(map[member.BoxID]member.Record),
 		rows:     make(map[table.Key]table.Row),
 		models:   make(map[table.Model]int),
@@ -215,7 +215,7 @@
 
 func (v *View) applyAssignment(item state.Item) error {
 	box := member.BoxID(strings.TrimPrefix(item.Key, plan.BoxPrefix))
-	for _, held := range v.boxes[box].Weights {
+	for _, held := range v.boxes[box].Versions {
 		delete(v.swarms[held.Manifest], box)
 		if len(v.swarms[held.Manifest]) == 0 {
 			delete(v.swarms, held.Manifest)
@@ -230,7 +230,7 @@
 		return err
 	}
 	v.boxes[box] = next
-	for _, held := range next.Weights {
+	for _, held := range next.Versions {
 		if v.swarms[held.Manifest] == nil {
 			v.swarms[held.Manifest] = make(map[member.BoxID]bool)
 		}
--- a/internal/direct/ages.go
+++ b/internal/direct/ages.go
@@ -32,8 +32,8 @@
 	for _, model := range slices.Sorted(maps.Keys(f.wanted)) {
 		named := f.wanted[model]
 		for _, version := range named[max(0, len(named)-agesTold):] {
-			if version.Witnessed {
-				ages = append(ages, fleet.VersionAge{Model: model, Version: version.Version, Age: now.Sub(version.Since)})
+			if version.Observed {
+				ages = append(ages, fleet.VersionAge{Model: model, Version: version.Version, Age: now.Sub(version.PublishedAt)})
 			}
 		}
 	}
@@ -62,7 +62,7 @@
 		}
 	}
 	if learned {
-		f.publish(f.View().WithWanted(maps.Clone(f.wanted)))
+		f.publish(f.View().WithPublishedVersions(maps.Clone(f.wanted)))
 	}
 }
 
@@ -76,14 +76,14 @@
 		// The store holds only the newest name, so a box that started after two of them, 4 s after each other,
 		// barred the first weights 4 s late.
 		f.ageNews++
-		f.wanted[age.Model] = named.With(fleet.WantedSince{Version: age.Version, Since: since, Witnessed: true})
+		f.wanted[age.Model] = named.With(fleet.PublishedVersion{Version: age.Version, PublishedAt: since, Observed: true})
 		f.log.Info().Str("model", string(age.Model)).Uint64("version", uint64(age.Version)).Dur("age_ms", age.Age).Str("from", from).Msg("weights wanted")
 		return true
 	}
 	corrected, ok := named.Corrected(age.Version, since, ageTolerance)
 	if ok {
 		f.log.Info().Str("model", string(age.Model)).Uint64("version", uint64(age.Version)).Dur("age_ms", age.Age).
-			Dur("believed_ms", now.Sub(named.Since(age.Version))).Str("from", from).Msg("age of wanted weights corrected")
+			Dur("believed_ms", now.Sub(named.PublishedAt(age.Version))).Str("from", from).Msg("age of wanted weights corrected")
 		f.ageNews++
 		f.wanted[age.Model] = corrected
 	}
--- a/internal/direct/attempt.go
+++ b/internal/direct/attempt.go
@@ -117,9 +117,9 @@
 			// longer.
 			out.Priority = 0
 		}
-		named := f.facts.View().Wanted(service.Engine.Models[0])
+		named := f.facts.View().PublishedVersions(service.Engine.Models[0])
 		newest := named.Newest()
-		if f.required(named, now) > 0 || !newest.Since.IsZero() && place.Version == newest.Version {
+		if f.required(named, now) > 0 || !newest.PublishedAt.IsZero() && place.Version == newest.Version {
 			// What is believed of its weights may be of the server's start before. On the newest ones it can't
 			// have gone on; on older ones it may have, which is no reason to refuse before they are barred.
 			out.Version = place.Version
--- a/internal/direct/bar_test.go
+++ b/internal/direct/bar_test.go
@@ -93,13 +93,13 @@
 	facts := NewFacts(clock, zerolog.Nop(), NewMetrics())
 	w := &barWorld{t: t, clock: clock, facts: facts, log: new(bytes.Buffer)}
 	w.front = &Front{
-		suspects: noSuspects(), answered: newAnsweredLately(), facts: facts, clock: clock, log: zerolog.New(w.log), metrics: NewMetrics(), duties: kernel.NewDuties(), bound: testBound,
+		suspects: noSuspects(), answered: newAnsweredLately(), facts: facts, clock: clock, log: zerolog.New(w.log), metrics: NewMetrics(), duties: kernel.NewTaskGroup(), bound: testBound,
 		protocol: testProtocol(), retries: retryLimits{1, 100, 10 * time.Second}, isNear: func(member.FailureDomain) bool { return true },
 		dispatchers: make(map[member.Service]*route.Dispatcher), budgets: make(map[member.Service]*route.WindowBudget), models: make(map[member.Service]fleet.ModelName),
 		patience: make(map[string]*route.Patience),
 	}
 	w.front.pool = upstream.NewPool(upstream.Options{Clock: clock, IsOwn: func(*http.Response, string) bool { return true }})
-	engine := &fleet.Engine{Slots: 4, Models: []fleet.ModelName{"m"}, ReadPerSecond: 30000}
+	engine := &fleet.Engine{Slots: 4, Models: []fleet.ModelName{"m"}, PrefillTokensPerSecond: 30000}
 	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{
 		Version: 1, Services: []fleet.Service{{Name: "llm", Engine: engine}},
 	}}}, "store")
@@ -302,8 +302,8 @@
 	for name, changes := range map[string][]fleet.Fact{
 		"stays":         nil,
 		"leaves":        {leaving("a")},
-		"is gone":       {{Key: fleet.ServerKey("a"), Revision: 9, Gone: true}},
-		"is back":       {{Key: fleet.ServerKey("a"), Revision: 9, Gone: true}, back},
+		"is gone":       {{Key: fleet.ServerKey("a"), Revision: 9, Deleted: true}},
+		"is back":       {{Key: fleet.ServerKey("a"), Revision: 9, Deleted: true}, back},
 		"has no engine": {{Key: fleet.ConfigurationKey(), Revision: 9, Configuration: &fleet.Configuration{Version: 2, Services: []fleet.Service{{Name: "llm"}}}}},
 		"has no service": {
 			{Key: fleet.ConfigurationKey(), Revision: 9, Configuration: &fleet.Configuration{Version: 2, Services: []fleet.Service{{Name: "maps"}}}},
@@ -415,7 +415,7 @@
 	}, "store")
 	f := &Front{suspects: noSuspects(), answered: newAnsweredLately(), facts: p.facts, clock: clock, bound: 30 * time.Second}
 	clock.Advance(3 * time.Second)
-	require.EqualValues(t, 2, f.required(p.facts.View().Wanted("m"), clock.Now()))
+	require.EqualValues(t, 2, f.required(p.facts.View().PublishedVersions("m"), clock.Now()))
 }
 
 // A server that has started again under its id may hold older weights than its entry, or the last word of its agent,
--- a/internal/direct/departures_test.go
+++ b/internal/direct/departures_test.go
@@ -24,7 +24,7 @@
 
 // goneAt is that server a has no entry any more.
 func goneAt(revision fleet.Revision) fleet.Fact {
-	return fleet.Fact{Key: fleet.ServerKey("a"), Revision: revision, Gone: true}
+	return fleet.Fact{Key: fleet.ServerKey("a"), Revision: revision, Deleted: true}
 }
 
 func newDeparturesFacts() *Facts {
--- a/internal/direct/earlydraws.go
+++ b/internal/direct/earlydraws.go
@@ -32,21 +32,21 @@
 // its pieces.
 func (l *Loader) drawEarly(ctx context.Context, want *target, version fleet.WeightsVersion) *earlyDraws {
 	e := &earlyDraws{started: make(map[int]time.Time), stop: func() {}}
-	named, options := want.named.Since(version), l.pickerOptions(want)
-	if paceFrom(named, l.options.Clock.Now()) != named || options.DrawPace == 0 || want.origin.Origin == "" {
+	named, options := want.named.PublishedAt(version), l.pickerOptions(want)
+	if paceFrom(named, l.options.Clock.Now()) != named || options.OriginInterval == 0 || want.origin.Origin == "" {
 		return e
 	}
 	var drawers []weights.Peer
 	for _, record := range l.records(want) {
 		drawers = append(drawers, weights.Peer{Box: string(record.Box)})
 	}
-	pieces := weights.FirstDrawn(string(want.model), strconv.FormatUint(uint64(version), 10), string(l.options.Agent), drawers, want.engine.Pieces)
+	pieces := weights.FirstRankChunks(string(want.model), strconv.FormatUint(uint64(version), 10), string(l.options.Agent), drawers, want.engine.Chunks)
 	e.results = make(chan fetchResult, len(pieces))
 	waitCtx, stop := context.WithCancel(ctx)
 	e.stop = stop
 	l.duties.Go(func(context.Context) {
 		for _, piece := range pieces {
-			sleep(waitCtx, l.options.Clock, named.Add(options.PacedAfter(piece)).Sub(l.options.Clock.Now()))
+			sleep(waitCtx, l.options.Clock, named.Add(options.ScheduledOffset(piece)).Sub(l.options.Clock.Now()))
 			if waitCtx.Err() != nil || !e.start(piece, l.options.Clock.Now()) {
 				return
 			}
@@ -69,7 +69,7 @@
 func (e *earlyDraws) draw(ctx context.Context, l *Loader, want *target, version fleet.WeightsVersion, piece int) {
 	started := l.options.Clock.Now()
 	data, err := l.draw(ctx, want, version, piece)
-	e.results <- fetchResult{weights.Task{Chunk: piece}, data, err, l.options.Clock.Since(started)}
+	e.results <- fetchResult{weights.FetchTask{Chunk: piece}, data, err, l.options.Clock.Since(started)}
 }
 
 // begun ends beginning draws, and returns when each began that has.
--- a/internal/direct/exchange.go
+++ b/internal/direct/exchange.go
@@ -94,12 +94,12 @@
 	x.configuration = view.Configuration.Version
 	var ok bool
 	if x.route, ok = view.Route(hostOf(x.request), x.request.URL.EscapedPath()); !ok {
-		f.denyUnlessUnread(x, http.StatusNotFound, "no-route", view.Configuration.Unread.Routes)
+		f.denyUnlessUnread(x, http.StatusNotFound, "no-route", view.Configuration.Unreadable.Routes)
 		return false
 	}
 	if len(view.Configuration.Organisations) > 0 && !x.route.Public {
 		if x.organisation, ok = view.Organisation(x.Key); !ok {
-			f.denyUnlessUnread(x, http.StatusUnauthorized, "unknown-key", view.Configuration.Unread.Organisations && x.Key != "")
+			f.denyUnlessUnread(x, http.StatusUnauthorized, "unknown-key", view.Configuration.Unreadable.Organisations && x.Key != "")
 			return false
 		}
 	}
@@ -285,7 +285,7 @@
 	}
 	if x.begun {
 		event = event.Dur("begun_ms", x.firstAfter).Dur("pause_ms", x.longestPause)
-		if x.route.Pause > 0 && x.longestPause > x.route.Pause {
+		if x.route.MaxEventGap > 0 && x.longestPause > x.route.MaxEventGap {
 			event = event.Bool("paused", true)
 		}
 	}
--- a/internal/direct/facts.go
+++ b/internal/direct/facts.go
@@ -47,7 +47,7 @@
 	metrics *Metrics
 	store   *state.Store
 	view    atomic.Pointer[fleet.View]
-	duties  *kernel.Duties
+	duties  *kernel.TaskGroup
 	// restartAge is how long before its start the process takes weights to have been named that
 	// were there already.
 	restartAge time.Duration
@@ -60,7 +60,7 @@
 	departures departures
 	// rateLimits are the rate limits that servers have advertised in their answers.
 	rateLimits rateLimits
-	wanted     map[fleet.ModelName]fleet.Named
+	wanted     map[fleet.ModelName]fleet.PublishedVersions
 	// ageNews goes up with each version that is heard of and each age that is corrected.
 	ageNews int
 	// newest is the newest revision of any fact, complete the one up to which all were read,
@@ -87,10 +87,10 @@
 func NewFacts(clock clockwork.Clock, log zerolog.Logger, metrics *Metrics) *Facts {
 	f := &Facts{
 		clock: clock, log: log, metrics: metrics, restartAge: restartAge,
-		store: state.NewStore(rand.Uint64()), duties: kernel.NewDuties(),
+		store: state.NewStore(rand.Uint64()), duties: kernel.NewTaskGroup(),
 		changed: make(chan struct{}),
 		servers: make(map[fleet.ServerID]listing), departures: newDepartures(), rateLimits: newRateLimits(),
-		wanted: make(map[fleet.ModelName]fleet.Named),
+		wanted: make(map[fleet.ModelName]fleet.PublishedVersions),
 		held:   make(map[string]fleet.Revision),
 		unread: make(map[string]string), unnamed: make(map[member.Service]bool),
 	}
@@ -209,7 +209,7 @@
 	var now, later []fleet.Fact
 	for _, fact := range facts {
 		id := fleet.ServerID(strings.TrimPrefix(fact.Key, fleet.ServerKey("")))
-		if server, known := f.servers[id]; fact.Gone && known && !server.Leaving && server.revision < fact.Revision {
+		if server, known := f.servers[id]; fact.Deleted && known && !server.Leaving && server.revision < fact.Revision {
 			later = append(later, fact)
 			f.held[fact.Key] = fact.Revision
 			f.log.Info().Str("server", string(id)).Uint64("revision", uint64(fact.Revision)).
@@ -248,7 +248,7 @@
 	var gone []fleet.Fact
 	for _, item := range f.store.Prefix("") {
 		if !present[item.Key] && !item.Deleted {
-			gone = append(gone, fleet.Fact{Key: item.Key, Revision: got.At, Gone: true})
+			gone = append(gone, fleet.Fact{Key: item.Key, Revision: got.At, Deleted: true})
 		}
 	}
 	return gone
@@ -305,7 +305,7 @@
 	for _, item := range fresh {
 		delete(f.held, item.Key)
 		f.newest = max(f.newest, fleet.Revision(item.Version.Major))
-		fact, err := fleet.FactOf(item)
+		fact, err := fleet.ParseFact(item)
 		if err != nil {
 			f.log.Error().Str("fact", item.Key).Err(err).Msg("fact not taken")
 			continue
@@ -318,7 +318,7 @@
 		case strings.HasPrefix(fact.Key, fleet.ServerKey("")):
 			f.takeServer(&fact, from, &log)
 			servers = true
-		case strings.HasPrefix(fact.Key, fleet.WantedKey("")):
+		case strings.HasPrefix(fact.Key, fleet.DesiredKey("")):
 			f.takeWanted(&fact, from, witnessed)
 			wanted = true
 		}
@@ -327,7 +327,7 @@
 		view = view.WithServers(f.believedServers(view.Configuration))
 	}
 	if wanted {
-		view = view.WithWanted(maps.Clone(f.wanted))
+		view = view.WithPublishedVersions(maps.Clone(f.wanted))
 	}
 	f.publish(view)
 }
@@ -348,11 +348,11 @@
 	}
 	f.log.Info().Uint64("version", fact.Configuration.Version).Uint64("revision", uint64(fact.Revision)).Str("from", from).
 		Int("routes", len(fact.Configuration.Routes)).Int("organisations", len(fact.Configuration.Organisations)).Msg("configuration in force")
-	if unread := fact.Configuration.Unread; unread != (fleet.Unread{}) {
+	if unread := fact.Configuration.Unreadable; unread != (fleet.UnreadableParts{}) {
 		f.log.Error().Uint64("version", fact.Configuration.Version).Bool("routes", unread.Routes).Bool("services", unread.Services).
 			Bool("organisations", unread.Organisations).Bool("limits", unread.Limits).Msg("parts of the configuration that can't be read stay as they were")
 	}
-	return view.WithConfiguration(fact.Configuration.Over(held), fact.Revision)
+	return view.WithConfiguration(fact.Configuration.WithFallback(held), fact.Revision)
 }
 
 // noteFindings logs what is wrong with entries, once for each as long as it stays: an entry
@@ -383,12 +383,12 @@
 // that takes the moment at which another one told it for that would replace the guesses of all that have
 // just started, and older weights would begin requests for too long.
 func (f *Facts) takeWanted(fact *fleet.Fact, from string, witnessed bool) {
-	if fact.Wanted == nil {
+	if fact.Desired == nil {
 		return
 	}
-	model := fact.Wanted.Model
+	model := fact.Desired.Model
 	named := f.wanted[model]
-	if len(named) > 0 && fact.Wanted.Version <= named.Newest().Version {
+	if len(named) > 0 && fact.Desired.Version <= named.Newest().Version {
 		return
 	}
 	since := f.clock.Now()
@@ -396,10 +396,10 @@
 		since = since.Add(-f.restartAge)
 	}
 	f.ageNews++
-	f.wanted[model] = named.With(fleet.WantedSince{
-		Version: fact.Wanted.Version, Revision: fact.Revision, Since: since, Witnessed: witnessed,
+	f.wanted[model] = named.With(fleet.PublishedVersion{
+		Version: fact.Desired.Version, Revision: fact.Revision, PublishedAt: since, Observed: witnessed,
 	})
-	f.log.Info().Str("model", string(model)).Uint64("version", uint64(fact.Wanted.Version)).Dur("age_ms", f.clock.Since(since)).
+	f.log.Info().Str("model", string(model)).Uint64("version", uint64(fact.Desired.Version)).Dur("age_ms", f.clock.Since(since)).
 		Bool("witnessed", witnessed).Uint64("revision", uint64(fact.Revision)).Str("from", from).Msg("weights wanted")
 }
 
--- a/internal/direct/facts_test.go
+++ b/internal/direct/facts_test.go
@@ -62,7 +62,7 @@
 }
 
 // gone is the deletion of server a at revision 7.
-func gone() fleet.Fact { return fleet.Fact{Key: fleet.ServerKey("a"), Revision: 7, Gone: true} }
+func gone() fleet.Fact { return fleet.Fact{Key: fleet.ServerKey("a"), Revision: 7, Deleted: true} }
 
 // play reads the store until all answers are given. Waits are passed over; it runs in a
 // synctest bubble, so that no answer is overdue because the machine is busy.
@@ -171,19 +171,19 @@
 	facts, clock := newTestFacts()
 	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}}, "store")
 	wanted := func(version fleet.WeightsVersion, revision fleet.Revision) fleet.Fact {
-		return fleet.Fact{Key: fleet.WantedKey("m"), Revision: revision, Wanted: &fleet.Wanted{Model: "m", Version: version}}
+		return fleet.Fact{Key: fleet.DesiredKey("m"), Revision: revision, Desired: &fleet.DesiredVersion{Model: "m", Version: version}}
 	}
 	facts.Apply([]fleet.Fact{wanted(2, 2)}, "store")
 	clock.Advance(3 * time.Second)
 	facts.Apply([]fleet.Fact{wanted(3, 3)}, "store")
-	named, bound := facts.View().Wanted("m"), 8*time.Second
+	named, bound := facts.View().PublishedVersions("m"), 8*time.Second
 	clock.Advance(4 * time.Second)
-	require.EqualValues(t, 0, named.Required(bound, clock.Now()))
+	require.EqualValues(t, 0, named.OldestAllowed(bound, clock.Now()))
 	clock.Advance(time.Second)
-	require.EqualValues(t, 2, named.Required(bound, clock.Now()))
+	require.EqualValues(t, 2, named.OldestAllowed(bound, clock.Now()))
 	clock.Advance(3 * time.Second)
-	require.EqualValues(t, 3, named.Required(bound, clock.Now()))
-	barred, ok := named.Barred(1, bound)
+	require.EqualValues(t, 3, named.OldestAllowed(bound, clock.Now()))
+	barred, ok := named.CutoffTime(1, bound)
 	require.True(t, ok)
 	require.Equal(t, clock.Now().Add(-3*time.Second), barred)
 }
@@ -192,18 +192,18 @@
 // one that comes a moment later was named just now.
 func TestOnlyVersionsThatWereThereAtTheStartAreTakenForOlder(t *testing.T) {
 	configuration := fleet.Fact{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}
-	wanted := fleet.Fact{Key: fleet.WantedKey("m"), Revision: 2, Wanted: &fleet.Wanted{Model: "m", Version: 2}}
+	wanted := fleet.Fact{Key: fleet.DesiredKey("m"), Revision: 2, Desired: &fleet.DesiredVersion{Model: "m", Version: 2}}
 	together, clock := newTestFacts()
 	together.Apply([]fleet.Fact{configuration, wanted}, "store")
-	require.Equal(t, clock.Now().Add(-restartAge), together.View().Wanted("m").Newest().Since)
+	require.Equal(t, clock.Now().Add(-restartAge), together.View().PublishedVersions("m").Newest().PublishedAt)
 	later, clock := newTestFacts()
 	later.Apply([]fleet.Fact{configuration}, "store")
 	later.Apply([]fleet.Fact{wanted}, "store")
-	require.Equal(t, clock.Now(), later.View().Wanted("m").Newest().Since)
+	require.Equal(t, clock.Now(), later.View().PublishedVersions("m").Newest().PublishedAt)
 }
 
 func wantedVersion(version fleet.WeightsVersion, revision fleet.Revision) fleet.Fact {
-	return fleet.Fact{Key: fleet.WantedKey("m"), Revision: revision, Wanted: &fleet.Wanted{Model: "m", Version: version}}
+	return fleet.Fact{Key: fleet.DesiredKey("m"), Revision: revision, Desired: &fleet.DesiredVersion{Model: "m", Version: version}}
 }
 
 // A box that has just started guessed that both versions were named long ago, and
@@ -224,9 +224,9 @@
 	late.LearnVersions(witness.VersionAges(), "entry-2")
 	bound := 6 * time.Second
 	clock.Advance(3 * time.Second)
-	named := late.View().Wanted("m")
-	require.EqualValues(t, 2, named.Required(bound, clock.Now()))
-	require.Equal(t, witness.View().Wanted("m").Newest().Since, named.Newest().Since)
+	named := late.View().PublishedVersions("m")
+	require.EqualValues(t, 2, named.OldestAllowed(bound, clock.Now()))
+	require.Equal(t, witness.View().PublishedVersions("m").Newest().PublishedAt, named.Newest().PublishedAt)
 	require.Equal(t, witness.VersionAges(), late.VersionAges())
 }
 
@@ -241,9 +241,9 @@
 	require.NoError(t, err)
 	facts.ApplyItems([]state.Item{item}, "entry-2")
 	require.Empty(t, facts.VersionAges())
-	require.Equal(t, clock.Now().Add(-restartAge), facts.View().Wanted("m").Newest().Since)
+	require.Equal(t, clock.Now().Add(-restartAge), facts.View().PublishedVersions("m").Newest().PublishedAt)
 	facts.LearnVersions([]fleet.VersionAge{{Model: "m", Version: 2, Age: 300 * time.Millisecond}}, "entry-3")
-	require.Equal(t, clock.Now().Add(-300*time.Millisecond), facts.View().Wanted("m").Newest().Since, "a witness is right")
+	require.Equal(t, clock.Now().Add(-300*time.Millisecond), facts.View().PublishedVersions("m").Newest().PublishedAt, "a witness is right")
 }
 
 // A box that had just started had a configuration from another one before it read the store itself. It took
@@ -256,9 +256,9 @@
 		require.NoError(t, err)
 		facts.ApplyItems([]state.Item{item}, "entry-2")
 		play(t, clock, facts, gives(5, configuration, wantedVersion(2, 5)), gives(6, wantedVersion(3, 6)))
-		named := facts.View().Wanted("m")
-		require.Equal(t, facts.Answered(), named.Since(3), "a later one is read as it is written")
-		require.LessOrEqual(t, named.Since(2), facts.Answered().Add(-restartAge))
+		named := facts.View().PublishedVersions("m")
+		require.Equal(t, facts.Answered(), named.PublishedAt(3), "a later one is read as it is written")
+		require.LessOrEqual(t, named.PublishedAt(2), facts.Answered().Add(-restartAge))
 		require.Len(t, facts.VersionAges(), 1)
 	})
 }
@@ -302,9 +302,9 @@
 	const bound = 8 * time.Second
 	for range 80 {
 		clock.Advance(100 * time.Millisecond)
-		require.Equal(t, there.View().Wanted("m").Required(bound, clock.Now()), later.View().Wanted("m").Required(bound, clock.Now()))
+		require.Equal(t, there.View().PublishedVersions("m").OldestAllowed(bound, clock.Now()), later.View().PublishedVersions("m").OldestAllowed(bound, clock.Now()))
 	}
-	require.EqualValues(t, 3, later.View().Wanted("m").Required(bound, clock.Now()))
+	require.EqualValues(t, 3, later.View().PublishedVersions("m").OldestAllowed(bound, clock.Now()))
 	require.Equal(t, there.VersionAges(), later.VersionAges(), "it tells both on")
 }
 
@@ -315,14 +315,14 @@
 	facts.Apply([]fleet.Fact{wantedVersion(2, 2)}, "store")
 	heard := clock.Now()
 	facts.LearnVersions([]fleet.VersionAge{{Model: "m", Version: 2, Age: 5 * time.Second}}, "entry-2")
-	require.Equal(t, heard.Add(-5*time.Second), facts.View().Wanted("m").Newest().Since)
-	told := facts.View().Wanted("m")
+	require.Equal(t, heard.Add(-5*time.Second), facts.View().PublishedVersions("m").Newest().PublishedAt)
+	told := facts.View().PublishedVersions("m")
 	facts.LearnVersions([]fleet.VersionAge{{Model: "m", Version: 2, Age: time.Second}, {Model: "n", Version: 2}}, "entry-3")
-	require.Equal(t, told, facts.View().Wanted("m"), "one who heard later changes nothing")
-	require.Equal(t, clock.Now(), facts.View().Wanted("n").Newest().Since)
+	require.Equal(t, told, facts.View().PublishedVersions("m"), "one who heard later changes nothing")
+	require.Equal(t, clock.Now(), facts.View().PublishedVersions("n").Newest().PublishedAt)
 	facts.LearnVersions([]fleet.VersionAge{{Model: "m", Version: 9, Age: time.Second}, {Model: "m", Version: 2, Age: 7 * time.Second}}, "entry-4")
-	require.Equal(t, heard.Add(-7*time.Second), facts.View().Wanted("m").Since(2), "a newer version beside it keeps none from being corrected")
-	require.Equal(t, heard.Add(-time.Second), facts.View().Wanted("m").Newest().Since)
+	require.Equal(t, heard.Add(-7*time.Second), facts.View().PublishedVersions("m").PublishedAt(2), "a newer version beside it keeps none from being corrected")
+	require.Equal(t, heard.Add(-time.Second), facts.View().PublishedVersions("m").Newest().PublishedAt)
 }
 
 // After a loss of power each address had two entries for seconds, and half of the
@@ -336,9 +336,9 @@
 	}
 	facts.Apply([]fleet.Fact{listedAt("new", "10.0.0.1:80", 9), listedAt("old", "10.0.0.1:80", 3)}, "store")
 	require.Equal(t, fleet.ServerID("new"), only())
-	facts.Apply([]fleet.Fact{{Key: fleet.ServerKey("old"), Revision: 12, Gone: true}}, "store")
+	facts.Apply([]fleet.Fact{{Key: fleet.ServerKey("old"), Revision: 12, Deleted: true}}, "store")
 	require.Equal(t, fleet.ServerID("new"), only())
-	facts.Apply([]fleet.Fact{{Key: fleet.ServerKey("new"), Revision: 13, Gone: true}}, "store")
+	facts.Apply([]fleet.Fact{{Key: fleet.ServerKey("new"), Revision: 13, Deleted: true}}, "store")
 	require.Empty(t, facts.View().Servers("llm"))
 }
 
@@ -347,15 +347,15 @@
 func TestAVersionIsHeardOfFromThoseWhoKnowItsAge(t *testing.T) {
 	facts, clock := newTestFacts()
 	facts.LearnVersions([]fleet.VersionAge{{Model: "m", Version: 2, Age: 300 * time.Millisecond}, {Model: "m", Version: 3, Age: 100 * time.Millisecond}}, "entry-2")
-	named := facts.View().Wanted("m")
+	named := facts.View().PublishedVersions("m")
 	require.EqualValues(t, 3, named.Newest().Version)
-	require.Equal(t, clock.Now().Add(-100*time.Millisecond), named.Newest().Since)
-	require.Equal(t, clock.Now().Add(-300*time.Millisecond), named.Since(2))
+	require.Equal(t, clock.Now().Add(-100*time.Millisecond), named.Newest().PublishedAt)
+	require.Equal(t, clock.Now().Add(-300*time.Millisecond), named.PublishedAt(2))
 	require.Len(t, facts.VersionAges(), 2, "it is told on")
 	facts.Apply([]fleet.Fact{wantedVersion(3, 9)}, "store")
-	require.Equal(t, named, facts.View().Wanted("m"), "the store's own word changes nothing")
+	require.Equal(t, named, facts.View().PublishedVersions("m"), "the store's own word changes nothing")
 	facts.LearnVersions([]fleet.VersionAge{{Model: "m", Version: 2, Age: time.Second}}, "entry-3")
-	require.EqualValues(t, 3, facts.View().Wanted("m").Newest().Version)
+	require.EqualValues(t, 3, facts.View().PublishedVersions("m").Newest().Version)
 }
 
 // A change that came shortly after others waited until more had been gathered.
--- a/internal/direct/fetch.go
+++ b/internal/direct/fetch.go
@@ -65,7 +65,7 @@
 }
 
 type fetchResult struct {
-	task  weights.Task
+	task  weights.FetchTask
 	data  []byte
 	err   error
 	taken time.Duration
@@ -80,10 +80,10 @@
 // pickerOptions are how a copy is fetched.
 func (l *Loader) pickerOptions(want *target) weights.PickerOptions {
 	options := weights.DefaultPickerOptions()
-	options.DrawWindow, options.DrawPace = drawWindow(want), drawPace(want)
-	options.DrawAhead, options.DrawHedge, options.Silence = drawAhead, drawHedgePieces*options.DrawPace, drawerSilence
-	options.FarPatience = l.farPatience(want)
-	options.DrawWait, options.Patience, options.Window, options.TotalWindow = drawWait, drawPatience, 1, firstWindow
+	options.OriginWindow, options.OriginInterval = drawWindow(want), drawPace(want)
+	options.OriginBurst, options.OriginHedgeDelay, options.SilenceTimeout = drawAhead, drawHedgePieces*options.OriginInterval, drawerSilence
+	options.MaxRemoteWait = l.farPatience(want)
+	options.RankDelay, options.MaxOriginWait, options.NeighbourWindow, options.TotalWindow = drawWait, drawPatience, 1, firstWindow
 	return options
 }
 
@@ -98,10 +98,10 @@
 		window: firstWindow, early: early.results,
 	}
 	for chunk, at := range early.begun() {
-		f.picker.Begin(chunk, at)
+		f.picker.AddEarlyFetch(chunk, at)
 	}
-	f.picker.HoldBack(l.holdBack(want, version))
-	f.picker.PaceFrom(paceFrom(want.named.Since(version), l.options.Clock.Now()))
+	f.picker.RestrictUntil(l.holdBack(want, version))
+	f.picker.SetScheduleStart(paceFrom(want.named.PublishedAt(version), l.options.Clock.Now()))
 	f.adoptPeers()
 	return f.run(ctx)
 }
@@ -132,7 +132,7 @@
 	if want.origin.OriginMbps <= 0 || l.options.LinkMbps <= 0 {
 		return farPatience
 	}
-	size := float64(want.engine.PieceSize) * float64(want.engine.Pieces)
+	size := float64(want.engine.ChunkSize) * float64(want.engine.Chunks)
 	seconds := size/(want.origin.OriginMbps*bytesPerMbit) + size/(l.options.LinkMbps*bytesPerMbit)
 	return time.Duration(seconds * float64(time.Second))
 }
@@ -173,7 +173,7 @@
 	if want.origin.OriginMbps <= 0 {
 		return 0
 	}
-	seconds := linkOverhead * float64(want.engine.PieceSize) / (want.origin.OriginMbps * bytesPerMbit)
+	seconds := linkOverhead * float64(want.engine.ChunkSize) / (want.origin.OriginMbps * bytesPerMbit)
 	return time.Duration(seconds * float64(time.Second))
 }
 
@@ -188,14 +188,14 @@
 	records := f.loader.records(f.want)
 	drawers := make([]weights.Peer, 0, len(records))
 	for _, record := range records {
-		drawers = append(drawers, weights.Peer{Box: string(record.Box), Far: record.Region == regionFar})
+		drawers = append(drawers, weights.Peer{Box: string(record.Box), Remote: record.Region == regionFar})
 		f.addresses[string(record.Box)] = record.Peers
 	}
-	f.picker.SetDrawers(drawers)
+	f.picker.SetOriginFetchers(drawers)
 	neighbours := f.loader.neighbours(f.want)
 	peers := make([]weights.Peer, 0, len(neighbours))
 	for _, record := range neighbours {
-		peers = append(peers, weights.Peer{Box: string(record.Box), Far: record.Region == regionFar})
+		peers = append(peers, weights.Peer{Box: string(record.Box), Remote: record.Region == regionFar})
 	}
 	f.picker.SetNeighbours(peers)
 }
@@ -257,7 +257,7 @@
 			f.asked[result.box] = false
 			f.picker.SetHoldings(result.box, result.held)
 			if result.answered {
-				f.picker.Heard(result.box, f.loader.options.Clock.Now())
+				f.picker.RecordResponse(result.box, f.loader.options.Clock.Now())
 			}
 		case <-ticker.Chan():
 			f.adoptPeers()
@@ -287,7 +287,7 @@
 // take keeps a piece that verifies and notes everything else as a fault.
 func (f *fetch) take(result fetchResult) {
 	from := "peer"
-	if result.task.IsDraw() {
+	if result.task.FromOrigin() {
 		from = "origin"
 	}
 	err := result.err
@@ -312,7 +312,7 @@
 // origin tell nothing of the box's own link: several are on that of the origin together, and
 // each box that had drawn one fetched two pieces at once in place of four for a while.
 func (f *fetch) adjustWindow(result fetchResult) {
-	if result.task.IsDraw() {
+	if result.task.FromOrigin() {
 		return
 	}
 	if result.taken > pieceSlow {
@@ -330,8 +330,8 @@
 	return l.options.Origin.Piece(callCtx, want.origin.Origin, want.model, version, piece)
 }
 
-func (f *fetch) transfer(ctx context.Context, task weights.Task) ([]byte, error) {
-	if task.IsDraw() {
+func (f *fetch) transfer(ctx context.Context, task weights.FetchTask) ([]byte, error) {
+	if task.FromOrigin() {
 		return f.loader.draw(ctx, f.want, f.version, task.Chunk)
 	}
 	callCtx, cancel := context.WithTimeout(ctx, pieceTimeout)
@@ -352,7 +352,7 @@
 		case err != nil:
 			return nil, err
 		case int64(len(data)+len(frame.Data)) > size:
-			return nil, fmt.Errorf("piece is longer than %d bytes: %w", size, weights.ErrDigest)
+			return nil, fmt.Errorf("piece is longer than %d bytes: %w", size, weights.ErrDigestMismatch)
 		}
 		data = append(data, frame.Data...)
 	}
@@ -361,7 +361,7 @@
 // askHoldings asks each neighbour that has answered the last time.
 func (f *fetch) askHoldings(ctx context.Context) {
 	digest := f.manifest.Digest()
-	for _, box := range f.picker.Ask() {
+	for _, box := range f.picker.BoxesToPoll() {
 		if f.asked[box] {
 			continue
 		}
--- a/internal/direct/front.go
+++ b/internal/direct/front.go
@@ -61,7 +61,7 @@
 	log      zerolog.Logger
 	metrics  *Metrics
 	pool     *upstream.Pool
-	duties   *kernel.Duties
+	duties   *kernel.TaskGroup
 	bound    time.Duration
 	retries  retryLimits
 	started  time.Time
@@ -110,7 +110,7 @@
 	direct := p.settings.Direct
 	f := &Front{
 		facts: p.facts, protocol: p.options.Platform.Callers, clock: p.options.Clock, log: p.options.Log, metrics: p.metrics,
-		duties: kernel.NewDuties(), started: p.options.Clock.Now(), bound: time.Duration(direct.VersionBound),
+		duties: kernel.NewTaskGroup(), started: p.options.Clock.Now(), bound: time.Duration(direct.VersionBound),
 		retries: retryLimits{*direct.RetryRatio, *direct.RetryExtra, time.Duration(direct.RetryWindow)},
 		isNear:  p.isNear, box: p.box(), suspects: p.suspects, answered: newAnsweredLately(), dispatchers: make(map[member.Service]*route.Dispatcher),
 		budgets: make(map[member.Service]*route.WindowBudget), models: make(map[member.Service]fleet.ModelName), patience: make(map[string]*route.Patience),
@@ -329,7 +329,7 @@
 		}
 	}
 	if model, ok := f.models[name]; ok {
-		d.Require(f.versions(view.Wanted(model), now), now)
+		d.Require(f.versions(view.PublishedVersions(model), now), now)
 	}
 	entries := f.entries.Load()
 	if entries == nil {
@@ -345,10 +345,10 @@
 const beginReserve = 500 * time.Millisecond
 
 // versions is what a dispatcher may do with which weights now.
-func (f *Front) versions(named fleet.Named, now time.Time) route.Versions {
+func (f *Front) versions(named fleet.PublishedVersions, now time.Time) route.Versions {
 	return route.Versions{
-		Required: f.required(named, now), Preferred: named.Required(f.bound-slowMargin, now),
-		Begun: named.Required(f.bound-beginReserve, now), Newest: named.Newest().Version,
+		Required: f.required(named, now), Preferred: named.OldestAllowed(f.bound-slowMargin, now),
+		Begun: named.OldestAllowed(f.bound-beginReserve, now), Newest: named.Newest().Version,
 	}
 }
 
@@ -359,7 +359,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	model, ok := f.models[name]
-	if !ok || place.Version >= f.required(f.facts.View().Wanted(model), f.clock.Now()) {
+	if !ok || place.Version >= f.required(f.facts.View().PublishedVersions(model), f.clock.Now()) {
 		return false
 	}
 	f.adjustOne(name, f.dispatchers[name])
@@ -376,8 +376,8 @@
 }
 
 // required is the oldest version of weights that may start a request now.
-func (f *Front) required(named fleet.Named, now time.Time) fleet.WeightsVersion {
-	return named.Required(f.bound-versionMargin, now)
+func (f *Front) required(named fleet.PublishedVersions, now time.Time) fleet.WeightsVersion {
+	return named.OldestAllowed(f.bound-versionMargin, now)
 }
 
 // watchReady keeps the status in step with whether requests can be answered: a
--- a/internal/direct/front_test.go
+++ b/internal/direct/front_test.go
@@ -177,7 +177,7 @@
 	f := &Front{suspects: noSuspects(), answered: newAnsweredLately(), facts: facts, clock: clock, patience: make(map[string]*route.Patience)}
 	x := &exchange{
 		arrived: clock.Now(), begun: true, attempts: 1,
-		route: &fleet.Route{Name: "draft", Objective: 400 * time.Millisecond, Pause: 300 * time.Millisecond, Timeout: 6 * time.Second},
+		route: &fleet.Route{Name: "draft", Objective: 400 * time.Millisecond, MaxEventGap: 300 * time.Millisecond, Timeout: 6 * time.Second},
 	}
 	clock.Advance(2 * time.Second)
 	x.passed(clock.Now())
--- a/internal/direct/listing.go
+++ b/internal/direct/listing.go
@@ -19,7 +19,7 @@
 
 func (f *Facts) takeServer(fact *fleet.Fact, from string, log *zerolog.Logger) {
 	id := fleet.ServerID(strings.TrimPrefix(fact.Key, fleet.ServerKey("")))
-	if !fact.Gone {
+	if !fact.Deleted {
 		known, isKnown := f.servers[id]
 		if problem := f.startProblem(fact.Server.Incarnation, known.Incarnation); problem != "" {
 			log.Warn().Str("server", string(id)).Uint64("incarnation", uint64(fact.Server.Incarnation)).Uint64("known", uint64(known.Incarnation)).
--- a/internal/direct/loader.go
+++ b/internal/direct/loader.go
@@ -40,7 +40,7 @@
 	wire.DRPCFleetUnimplementedServer
 
 	options LoaderOptions
-	duties  *kernel.Duties
+	duties  *kernel.TaskGroup
 	store   *weights.MemoryStore
 
 	mu sync.Mutex
@@ -104,7 +104,7 @@
 			Clock:  p.options.Clock, Log: p.options.Log, Metrics: p.metrics, IsNear: p.isNear,
 			LinkMbps: p.settings.Direct.LinkMbps, Bound: time.Duration(p.settings.Direct.VersionBound),
 		},
-		duties: kernel.NewDuties(), store: weights.NewMemoryStore(weightsMemory),
+		duties: kernel.NewTaskGroup(), store: weights.NewMemoryStore(weightsMemory),
 		published: make(map[publishedVersion]*weights.Manifest),
 		copies:    make(map[fleet.WeightsVersion]*versionCopy),
 		changed:   make(chan struct{}), done: make(chan struct{}),
@@ -219,7 +219,7 @@
 type target struct {
 	model  fleet.ModelName
 	engine *fleet.Engine
-	named  fleet.Named
+	named  fleet.PublishedVersions
 	// origin publishes the weights; it has no address if none is known.
 	origin  fleet.Service
 	servers []fleet.Server
@@ -240,7 +240,7 @@
 	}
 	model := service.Engine.Models[0]
 	want := target{
-		model: model, engine: service.Engine, named: view.Wanted(model),
+		model: model, engine: service.Engine, named: view.PublishedVersions(model),
 		servers: staying(view.Servers(l.options.Service)), resumable: view.Resumable(l.options.Service),
 	}
 	if origin := view.Origin(); origin != nil {
@@ -277,7 +277,7 @@
 		if report.Models[i].Name != model {
 			continue
 		}
-		if version, whole := report.Models[i].Whole(layers); whole {
+		if version, whole := report.Models[i].CompleteVersion(layers); whole {
 			return version
 		}
 	}
@@ -413,7 +413,7 @@
 	status = &wire.ServerStatus{
 		Box: l.options.Box, Address: string(l.options.Address), Swapping: l.swapping,
 		Running: uint32(l.report.Running), Waiting: uint32(l.report.Waiting),
-		MemoryUsed: l.report.MemoryUsed, MemoryTotal: l.report.MemoryTotal, Pace: l.report.Pace,
+		MemoryUsed: l.report.MemoryUsed, MemoryTotal: l.report.MemoryTotal, Pace: l.report.Slowdown,
 		Ages: agesToWire(l.options.Facts.VersionAges()), Incarnation: uint64(l.incarnation), Leaving: l.leaving,
 	}
 	if !l.swapAt.IsZero() {
--- a/internal/direct/manifest.go
+++ b/internal/direct/manifest.go
@@ -149,5 +149,5 @@
 	if manifest == nil {
 		return &wire.ManifestResponse{}, nil
 	}
-	return &wire.ManifestResponse{Content: manifest.Content()}, nil
+	return &wire.ManifestResponse{Content: manifest.Raw()}, nil
 }
--- a/internal/direct/members.go
+++ b/internal/direct/members.go
@@ -160,7 +160,7 @@
 		m.log.Info().Str("box", string(box)).Dur("silent_ms", now.Sub(since)).Msg("entry box forgotten")
 		delete(m.silentSince, box)
 		delete(m.known, box)
-		m.store.Forget(member.KeyPrefix + string(box))
+		m.store.Purge(member.KeyPrefix + string(box))
 		m.sorted = nil
 		m.notify()
 	}
--- a/internal/direct/metrics.go
+++ b/internal/direct/metrics.go
@@ -103,7 +103,7 @@
 type httpService struct {
 	name   string
 	server *http.Server
-	duties *kernel.Duties
+	duties *kernel.TaskGroup
 }
 
 const (
@@ -120,7 +120,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &httpService{name: name, duties: kernel.NewDuties(), server: &http.Server{
+	s := &httpService{name: name, duties: kernel.NewTaskGroup(), server: &http.Server{
 		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: connectionIdle, MaxHeaderBytes: headerBytes,
 	}}
 	s.duties.Go(func(context.Context) {
--- a/internal/direct/order_test.go
+++ b/internal/direct/order_test.go
@@ -52,7 +52,7 @@
 
 // The same of entries of the store: a server that had left stayed believed.
 func TestOfTwoEntriesAtTheSameMomentTheNewerStays(t *testing.T) {
-	gone := fleet.Fact{Key: fleet.ServerKey("a"), Revision: 7, Gone: true}
+	gone := fleet.Fact{Key: fleet.ServerKey("a"), Revision: 7, Deleted: true}
 	for range interleavings {
 		facts := NewFacts(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
 		interleaved(
@@ -105,7 +105,7 @@
 // their deletions, and five configurations with the servers that come back among them.
 func returnOfTheStore() []fleet.Fact {
 	deleted := func(id fleet.ServerID, revision fleet.Revision) fleet.Fact {
-		return fleet.Fact{Key: fleet.ServerKey(id), Revision: revision, Gone: true}
+		return fleet.Fact{Key: fleet.ServerKey(id), Revision: revision, Deleted: true}
 	}
 	return []fleet.Fact{
 		deleted("a", 50), deleted("b", 51), deleted("c", 52), keyedBy(2, 64), keyedBy(3, 65), listed("a", 66),
--- a/internal/direct/outage_test.go
+++ b/internal/direct/outage_test.go
@@ -183,7 +183,7 @@
 // newTestBoxes returns what a box knows of one other that told its status.
 func newTestBoxes(facts *Facts, told ...*wire.EntryStatus) *EntryBoxes {
 	boxes := &EntryBoxes{
-		suspects: noSuspects(), facts: facts, clock: facts.clock, log: zerolog.Nop(), duties: kernel.NewDuties(),
+		suspects: noSuspects(), facts: facts, clock: facts.clock, log: zerolog.Nop(), duties: kernel.NewTaskGroup(),
 		boxes: make(map[string]EntryBox), pulled: make(map[member.Address]state.Cursor),
 		members: newTestMembers(facts.clock, "self"), readers: newReaders("self", "", testTimes.storeAway()),
 	}
@@ -210,7 +210,7 @@
 		reader, clock := newTestFacts()
 		play(t, clock, reader, outage(
 			gives(5, listed("a", 3), configurationAt(1, 5)),
-			gives(9, fleet.Fact{Key: fleet.ServerKey("a"), Revision: 6, Gone: true}, configurationAt(2, 9)))...)
+			gives(9, fleet.Fact{Key: fleet.ServerKey("a"), Revision: 6, Deleted: true}, configurationAt(2, 9)))...)
 		require.EqualValues(t, 2, reader.View().Configuration.Version)
 		follower := NewFacts(clock, zerolog.Nop(), NewMetrics())
 		follower.Apply([]fleet.Fact{listed("a", 3), configurationAt(1, 5)}, "store")
--- a/internal/direct/peers.go
+++ b/internal/direct/peers.go
@@ -48,7 +48,7 @@
 	peers    *daemon.Peers
 	clock    clockwork.Clock
 	log      zerolog.Logger
-	duties   *kernel.Duties
+	duties   *kernel.TaskGroup
 	// told is called with what another box of the cell has in flight and is asked for; see Front.
 	told func(box member.BoxID, load route.Load, demands route.Demands, whole bool, now time.Time)
 	// sentAway is called with the callers of whom another box tells on a way.
@@ -94,7 +94,7 @@
 	times := readTimesFor(time.Duration(p.settings.Direct.ChangeBound))
 	e := &EntryBoxes{
 		self: p.members.own, regionOf: p.regionOf, members: p.members, facts: p.facts, suspects: p.suspects, peers: p.peers, clock: p.options.Clock, log: p.options.Log,
-		duties: kernel.NewDuties(), seeds: p.settings.Peers.Entries, boxes: make(map[string]EntryBox),
+		duties: kernel.NewTaskGroup(), seeds: p.settings.Peers.Entries, boxes: make(map[string]EntryBox),
 		following: make(map[string]followed), pulled: make(map[member.Address]state.Cursor),
 		readers: newReaders(p.box(), p.region(), times.storeAway()), replanned: make(chan struct{}), told: p.front.PeerTold, sentAway: p.front.PeerSentAway,
 	}
--- a/internal/direct/run.go
+++ b/internal/direct/run.go
@@ -171,7 +171,7 @@
 func (f *Front) ask(x *exchange, tried []fleet.ServerID, once bool) *route.Ask {
 	reading, writing := f.engineTimes(x)
 	ask := &route.Ask{
-		Priority: f.priority(x), Arrived: f.clock.Now(), Objective: x.arrived.Add(x.route.Objective - x.sinceFirst), Deadline: x.deadline, Patience: x.route.Patience,
+		Priority: f.priority(x), Arrived: f.clock.Now(), Objective: x.arrived.Add(x.route.Objective - x.sinceFirst), Deadline: x.deadline, Patience: x.route.CallerTimeout,
 		Reading: reading, Holding: reading + writing,
 		Returning: x.sinceFirst > 0 && !f.leaving.Load(), Tried: tried, Once: once, Suspect: x.suspect,
 	}
@@ -180,7 +180,7 @@
 		// Its reader waits for the next event, and all that was written is lost if none
 		// comes.
 		ask.Resuming, ask.Returning = true, false
-		ask.Priority, ask.Objective = resumePriority, x.lastPassed.Add(x.route.Pause)
+		ask.Priority, ask.Objective = resumePriority, x.lastPassed.Add(x.route.MaxEventGap)
 	case x.attempts > 0:
 		// A request that has been tried already goes before those that came later.
 		ask.Returning = true
@@ -208,10 +208,10 @@
 	}
 	tokens := float64(x.AnswerHint)
 	if tokens == 0 {
-		tokens = service.Engine.UsualAnswer
+		tokens = service.Engine.TypicalResponseTokens
 	}
 	if x.AnswerTokens > 0 {
 		tokens = min(tokens, float64(x.AnswerTokens))
 	}
-	return service.Engine.ReadingTime(x.PromptTokens), service.Engine.WritingTime(tokens)
+	return service.Engine.PrefillTime(x.PromptTokens), service.Engine.DecodeTime(tokens)
 }
--- a/internal/direct/servers.go
+++ b/internal/direct/servers.go
@@ -26,7 +26,7 @@
 	entries *EntryBoxes
 	clock   clockwork.Clock
 	log     zerolog.Logger
-	duties  *kernel.Duties
+	duties  *kernel.TaskGroup
 	self    string
 	port    uint16
 	// state is called with what an agent tells of the server at an address.
@@ -36,7 +36,7 @@
 // startServers follows the agents.
 func (p *Process) startServers() error {
 	m := &ModelServers{
-		facts: p.facts, suspects: p.suspects, peers: p.peers, entries: p.entries, clock: p.options.Clock, log: p.options.Log, duties: kernel.NewDuties(),
+		facts: p.facts, suspects: p.suspects, peers: p.peers, entries: p.entries, clock: p.options.Clock, log: p.options.Log, duties: kernel.NewTaskGroup(),
 		self: p.settings.Box, port: uint16(p.settings.Direct.AgentPort), state: p.front.ServerState,
 	}
 	m.duties.Go(m.followAll)
--- a/internal/direct/status.go
+++ b/internal/direct/status.go
@@ -40,7 +40,7 @@
 	clock   clockwork.Clock
 	facts   *Facts
 	members *Members
-	duties  *kernel.Duties
+	duties  *kernel.TaskGroup
 	// load and demands are what the box has in flight and is asked for.
 	load    func() route.Load
 	demands func() route.Demands
@@ -83,7 +83,7 @@
 // startStatus makes the box's own status.
 func (p *Process) startStatus() error {
 	p.status = &Status{
-		clock: p.options.Clock, facts: p.facts, members: p.members, duties: kernel.NewDuties(),
+		clock: p.options.Clock, facts: p.facts, members: p.members, duties: kernel.NewTaskGroup(),
 		load: func() route.Load { return p.front.Load() }, demands: func() route.Demands { return p.front.Demands() },
 		sentAway: func(told uint64, to route.Relay) ([]route.SentAway, uint64) { return p.front.returns.Since(told, to) },
 		suspects: p.suspects,
--- a/internal/direct/versioncopy.go
+++ b/internal/direct/versioncopy.go
@@ -147,13 +147,13 @@
 // turn is when this server is to be swapped from one version to another, whose copy
 // was whole at a time.
 func (l *Loader) turn(want *target, have, version fleet.WeightsVersion, whole time.Time) time.Time {
-	named := want.named.Since(version)
-	barred, ok := want.named.Barred(have, l.options.Bound)
+	named := want.named.PublishedAt(version)
+	barred, ok := want.named.CutoffTime(have, l.options.Bound)
 	if !ok || named.IsZero() {
 		return whole
 	}
 	place, servers := l.place(want, version)
-	return weights.Turn{Named: named, Barred: barred, Place: place, Servers: servers}.At(whole)
+	return weights.SwapWindow{Published: named, Cutoff: barred, Position: place, Servers: servers}.Start(whole)
 }
 
 // place is this server's place in the order of the swaps to a version, and how
@@ -174,7 +174,7 @@
 // swapped before its own. A server without weights does not wait.
 func (l *Loader) holdBack(want *target, version fleet.WeightsVersion) time.Time {
 	report, answers := l.serverReport()
-	since := want.named.Since(version)
+	since := want.named.PublishedAt(version)
 	if since.IsZero() || answers && loaded(&report, want.model, want.engine.Layers) == 0 {
 		return time.Time{}
 	}
@@ -200,7 +200,7 @@
 			return err
 		}
 		if !l.isStaged(ctx, want, manifest, index) {
-			return fmt.Errorf("piece %d reads back wrong: %w", index, weights.ErrDigest)
+			return fmt.Errorf("piece %d reads back wrong: %w", index, weights.ErrDigestMismatch)
 		}
 	}
 	return nil
--- a/internal/direct/versioncopy_test.go
+++ b/internal/direct/versioncopy_test.go
@@ -54,7 +54,7 @@
 // made for.
 func TestACopyIsHeldUpOnlyAfterTheTimeThatTheLinksNeed(t *testing.T) {
 	l := &Loader{options: LoaderOptions{LinkMbps: 8}}
-	want := &target{engine: &fleet.Engine{Pieces: 64, PieceSize: 1 << 15}}
+	want := &target{engine: &fleet.Engine{Chunks: 64, ChunkSize: 1 << 15}}
 	require.Equal(t, farPatience, l.farPatience(want), "the origin's link is not known")
 	want.origin.OriginMbps = 16
 	require.InDelta(t, 1.05+2.1, l.farPatience(want).Seconds(), 0.01)
@@ -84,7 +84,7 @@
 		}
 		require.LessOrEqual(t, steps, 3)
 	}
-	require.Equal(t, member.Roots, readers, "the origin sends a manifest to two of each region")
+	require.Equal(t, member.MaxRoots, readers, "the origin sends a manifest to two of each region")
 	require.NotContains(t, below, member.BoxID("far"))
 	for agent, asking := range below {
 		require.LessOrEqual(t, asking, 3*member.Fanout, "%s", agent)
@@ -99,5 +99,5 @@
 			readers++
 		}
 	}
-	require.Equal(t, member.Roots, readers)
+	require.Equal(t, member.MaxRoots, readers)
 }
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -25,8 +25,8 @@
 // ErrDuplicate reports a name that is taken.
 var ErrDuplicate = errors.New("service name is taken")
 
-// ErrAbsent reports a name under which nothing of the wanted type is registered.
-var ErrAbsent = errors.New("no such service")
+// ErrNotFound reports a name under which nothing of the wanted type is registered.
+var ErrNotFound = errors.New("no such service")
 
 // Service is anything that the kernel stops. Stop returns once nothing of the
 // service runs any more, or when the context ends.
@@ -35,20 +35,20 @@
 	Stop(ctx context.Context) error
 }
 
-// Kernel holds the services of one process by name.
-type Kernel struct {
+// Registry holds the services of one process by name.
+type Registry struct {
 	mu       sync.Mutex
 	services map[string]Service
 	order    []string
 }
 
 // New returns a kernel without services.
-func New() *Kernel {
-	return &Kernel{services: make(map[string]Service)}
+func New() *Registry {
+	return &Registry{services: make(map[string]Service)}
 }
 
 // Register adds a service under its own name. Errors wrap ErrDuplicate.
-func (k *Kernel) Register(service Service) error {
+func (k *Registry) Register(service Service) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	name := service.String()
@@ -61,19 +61,19 @@
 }
 
 // Find returns the service of a name. Errors wrap ErrAbsent.
-func Find[T Service](k *Kernel, name string) (T, error) {
+func Find[T Service](k *Registry, name string) (T, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	service, ok := k.services[name].(T)
 	if !ok {
 		var zero T
-		return zero, fmt.Errorf("looking for %s: %w", name, ErrAbsent)
+		return zero, fmt.Errorf("looking for %s: %w", name, ErrNotFound)
 	}
 	return service, nil
 }
 
 // Stop stops all services, the last registered first, and joins their errors.
-func (k *Kernel) Stop(ctx context.Context) error {
+func (k *Registry) Stop(ctx context.Context) error {
 	k.mu.Lock()
 	order := k.order
 	k.order = nil
@@ -87,21 +87,21 @@
 	return errors.Join(problems...)
 }
 
-// Duties runs the goroutines of one service and ends them together.
-type Duties struct {
+// TaskGroup runs the goroutines of one service and ends them together.
+type TaskGroup struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	wait   sync.WaitGroup
 }
 
-// NewDuties returns an empty set of duties.
-func NewDuties() *Duties {
+// NewTaskGroup returns an empty set of duties.
+func NewTaskGroup() *TaskGroup {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Duties{ctx: ctx, cancel: cancel}
+	return &TaskGroup{ctx: ctx, cancel: cancel}
 }
 
 // Go starts a duty, which must return when its context ends.
-func (d *Duties) Go(duty func(ctx context.Context)) {
+func (d *TaskGroup) Go(duty func(ctx context.Context)) {
 	d.wait.Add(1)
 	go func() {
 		defer d.wait.Done()
@@ -110,10 +110,10 @@
 }
 
 // Context ends when the duties are stopped.
-func (d *Duties) Context() context.Context { return d.ctx }
+func (d *TaskGroup) Context() context.Context { return d.ctx }
 
 // Stop ends the duties and waits for them, at most until the context ends.
-func (d *Duties) Stop(ctx context.Context) error {
+func (d *TaskGroup) Stop(ctx context.Context) error {
 	d.cancel()
 	done := make(chan struct{})
 	go func() {
--- a/internal/lab/box.go
+++ b/internal/lab/box.go
@@ -170,8 +170,8 @@
 
 // reading is how long an entry box takes a prompt to be read.
 func (e *Engine) reading(tokens int) time.Duration {
-	engine := fleet.Engine{ReadPerSecond: e.ReadPerSecond, ReadAtOnce: e.ReadAtOnce, Stride: e.Stride, Step: e.Step}
-	return engine.ReadingTime(tokens)
+	engine := fleet.Engine{PrefillTokensPerSecond: e.ReadPerSecond, PrefillChunkTokens: e.ReadAtOnce, StepsBetweenPrefills: e.Stride, StepTime: e.Step}
+	return engine.PrefillTime(tokens)
 }
 
 // later runs something at the box after a time, if the request lives.
--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -57,13 +57,13 @@
 type Engine struct {
 	// Slots is how many requests run at once, Queue how many more are let in.
 	Slots, Queue int
-	// Step is the time of one token step, StepPerRequest what each request adds that
+	// Step is the time of one token step, StepTimePerRequest what each request adds that
 	// writes.
 	Step           time.Duration
 	StepPerRequest time.Duration
 	// Stride is how many token steps are played in a pass.
 	Stride int
-	// ReadPerSecond is the rate at which prompts are read, ReadAtOnce how many tokens
+	// PrefillTokensPerSecond is the rate at which prompts are read, PrefillChunkTokens how many tokens
 	// are read in a step.
 	ReadPerSecond float64
 	ReadAtOnce    int
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -163,14 +163,14 @@
 			continue
 		}
 		b.picker.SetNeighbours(peersOf(b.record, member.Neighbours(b.record, records)))
-		b.picker.SetDrawers(peersOf(b.record, records))
+		b.picker.SetOriginFetchers(peersOf(b.record, records))
 	}
 }
 
 func peersOf(self member.Record, records []member.Record) []weights.Peer {
 	peers := make([]weights.Peer, 0, len(records))
 	for _, record := range records {
-		peers = append(peers, weights.Peer{Box: string(record.Box), Far: record.Region != self.Region})
+		peers = append(peers, weights.Peer{Box: string(record.Box), Remote: record.Region != self.Region})
 	}
 	return peers
 }
@@ -204,7 +204,7 @@
 	if b.dead || b.done > 0 {
 		return
 	}
-	for _, name := range b.picker.Ask() {
+	for _, name := range b.picker.BoxesToPoll() {
 		n := r.byName[name]
 		held := n.held
 		if n.dead {
@@ -227,7 +227,7 @@
 	}
 }
 
-func (r *run) transfer(b *box, task weights.Task) {
+func (r *run) transfer(b *box, task weights.FetchTask) {
 	from := r.byName[task.From]
 	switch {
 	case from != nil && from.dead:
@@ -258,14 +258,14 @@
 	return down.free + latency - r.Elapsed()
 }
 
-func (r *run) failed(b *box, task weights.Task) {
+func (r *run) failed(b *box, task weights.FetchTask) {
 	if !b.dead {
 		b.picker.Failed(task, r.Now().Add(time.Second))
 		r.fetch(b)
 	}
 }
 
-func (r *run) arrived(b, from *box, task weights.Task) {
+func (r *run) arrived(b, from *box, task weights.FetchTask) {
 	switch {
 	case b.dead:
 		return
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -11,7 +11,7 @@
 
 func soonest() weights.PickerOptions {
 	options := weights.DefaultPickerOptions()
-	options.DrawWait /= 2
+	options.RankDelay /= 2
 	return options
 }
 
--- a/internal/scenario/watch_test.go
+++ b/internal/scenario/watch_test.go
@@ -76,7 +76,7 @@
 				if string(row.Plan.Serving) == args[2] {
 					return ""
 				}
-				return fmt.Sprintf("serving %q, %s", row.Plan.Serving, row.Plan.Waits)
+				return fmt.Sprintf("serving %q, %s", row.Plan.Serving, row.Plan.WaitReason)
 			}
 		}
 		return "no such row"
@@ -107,7 +107,7 @@
 	w.awaitAll(ts, fmt.Sprint("await-fetch ", args), func(answer daemon.StatusAnswer) string {
 		for _, record := range answer.Boxes {
 			for _, held := range record.Copies {
-				if string(record.Box) == args[0] && held.Phase == member.PhaseFetching && held.Chunks > 0 {
+				if string(record.Box) == args[0] && held.Phase == member.PhaseFetching && held.HeldChunks > 0 {
 					return ""
 				}
 			}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -163,7 +163,7 @@
 	Prefer Preference `toml:"prefer"`
 	// MemoryLimit bounds the chunks held in memory, in bytes.
 	MemoryLimit int64 `toml:"memory_limit_bytes"`
-	// DrawWait is how long a box waits for the one before it in the order of
+	// RankDelay is how long a box waits for the one before it in the order of
 	// drawers.
 	DrawWait Duration `toml:"draw_wait"`
 }
--- a/pkg/fleet/fact.go
+++ b/pkg/fleet/fact.go
@@ -11,7 +11,7 @@
 const (
 	configurationKey = "configuration"
 	serverPrefix     = "server/"
-	wantedPrefix     = "wanted/"
+	desiredPrefix    = "wanted/"
 )
 
 // Fact is one thing that was written outside. Exactly one of Configuration,
@@ -19,10 +19,10 @@
 type Fact struct {
 	Key           string
 	Revision      Revision
-	Gone          bool
+	Deleted       bool
 	Configuration *Configuration
 	Server        *Server
-	Wanted        *Wanted
+	Desired       *DesiredVersion
 }
 
 // ConfigurationKey returns the key of the configuration.
@@ -31,22 +31,22 @@
 // ServerKey returns the key of a server's entry.
 func ServerKey(id ServerID) string { return serverPrefix + string(id) }
 
-// WantedKey returns the key of a model's wanted weights.
-func WantedKey(model ModelName) string { return wantedPrefix + string(model) }
+// DesiredKey returns the key of a model's wanted weights.
+func DesiredKey(model ModelName) string { return desiredPrefix + string(model) }
 
 // Item returns the fact in the form in which it is replicated.
 func (f *Fact) Item() (state.Item, error) {
-	item := state.Item{Key: f.Key, Version: state.Version{Major: uint64(f.Revision)}, Deleted: f.Gone}
+	item := state.Item{Key: f.Key, Version: state.Version{Major: uint64(f.Revision)}, Deleted: f.Deleted}
 	var value any
 	switch {
-	case f.Gone:
+	case f.Deleted:
 		return item, nil
 	case f.Configuration != nil:
 		value = f.Configuration
 	case f.Server != nil:
 		value = f.Server
-	case f.Wanted != nil:
-		value = f.Wanted
+	case f.Desired != nil:
+		value = f.Desired
 	}
 	var err error
 	item.Value, err = state.Encode(value)
@@ -59,7 +59,7 @@
 	if item.Key != configurationKey || item.Deleted {
 		return item, nil
 	}
-	fact, err := FactOf(item)
+	fact, err := ParseFact(item)
 	if err != nil {
 		return item, err
 	}
@@ -69,9 +69,9 @@
 	return reduced, err
 }
 
-// FactOf reads a fact back from its item.
-func FactOf(item state.Item) (Fact, error) {
-	fact := Fact{Key: item.Key, Revision: Revision(item.Version.Major), Gone: item.Deleted}
+// ParseFact reads a fact back from its item.
+func ParseFact(item state.Item) (Fact, error) {
+	fact := Fact{Key: item.Key, Revision: Revision(item.Version.Major), Deleted: item.Deleted}
 	if item.Deleted {
 		return fact, nil
 	}
@@ -83,9 +83,9 @@
 	case strings.HasPrefix(item.Key, serverPrefix):
 		fact.Server = &Server{}
 		value = fact.Server
-	case strings.HasPrefix(item.Key, wantedPrefix):
-		fact.Wanted = &Wanted{}
-		value = fact.Wanted
+	case strings.HasPrefix(item.Key, desiredPrefix):
+		fact.Desired = &DesiredVersion{}
+		value = fact.Desired
 	default:
 		return fact, fmt.Errorf("fact %q has no known kind", item.Key)
 	}
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -80,11 +80,11 @@
 	Public bool `cbor:"10,keyasint,omitempty"`
 	// Resumable streams may go on at another backend server.
 	Resumable bool `cbor:"11,keyasint,omitempty"`
-	// Pause is the longest time between two events that callers accept.
-	Pause time.Duration `cbor:"12,keyasint,omitempty"`
-	// Patience is after how long without any event callers leave a stream; 0 if they
+	// MaxEventGap is the longest time between two events that callers accept.
+	MaxEventGap time.Duration `cbor:"12,keyasint,omitempty"`
+	// CallerTimeout is after how long without any event callers leave a stream; 0 if they
 	// stay to their deadline.
-	Patience time.Duration `cbor:"13,keyasint,omitempty"`
+	CallerTimeout time.Duration `cbor:"13,keyasint,omitempty"`
 }
 
 // Repeatable reports whether a request may run more than once.
@@ -100,42 +100,42 @@
 	// Warmup is how long a server takes to load all layers.
 	Warmup time.Duration `cbor:"3,keyasint"`
 	Layers int           `cbor:"4,keyasint"`
-	// Pieces and PieceSize (bytes) are how the weights are cut for transport.
-	Pieces    int   `cbor:"5,keyasint"`
-	PieceSize int64 `cbor:"6,keyasint"`
-	// Step is the time of one token step, StepPerRequest what each running
+	// Chunks and ChunkSize (bytes) are how the weights are cut for transport.
+	Chunks    int   `cbor:"5,keyasint"`
+	ChunkSize int64 `cbor:"6,keyasint"`
+	// StepTime is the time of one token step, StepTimePerRequest what each running
 	// request adds to it.
-	Step           time.Duration `cbor:"7,keyasint"`
-	StepPerRequest time.Duration `cbor:"8,keyasint"`
-	// Stride is how many token steps are played between two readings of prompts.
-	Stride int `cbor:"9,keyasint"`
-	// ReadPerSecond is the rate at which prompts are read, in tokens.
-	ReadPerSecond float64 `cbor:"10,keyasint"`
-	// UsualPrompt and UsualAnswer are mean sizes, in tokens.
-	UsualPrompt float64 `cbor:"11,keyasint"`
-	UsualAnswer float64 `cbor:"12,keyasint"`
-	// ReadAtOnce is how many tokens of prompts are read between two strides; 0 if
+	StepTime           time.Duration `cbor:"7,keyasint"`
+	StepTimePerRequest time.Duration `cbor:"8,keyasint"`
+	// StepsBetweenPrefills is how many token steps are played between two readings of prompts.
+	StepsBetweenPrefills int `cbor:"9,keyasint"`
+	// PrefillTokensPerSecond is the rate at which prompts are read, in tokens.
+	PrefillTokensPerSecond float64 `cbor:"10,keyasint"`
+	// TypicalPromptTokens and TypicalResponseTokens are mean sizes, in tokens.
+	TypicalPromptTokens   float64 `cbor:"11,keyasint"`
+	TypicalResponseTokens float64 `cbor:"12,keyasint"`
+	// PrefillChunkTokens is how many tokens of prompts are read between two strides; 0 if
 	// that is not known.
-	ReadAtOnce int `cbor:"13,keyasint,omitempty"`
+	PrefillChunkTokens int `cbor:"13,keyasint,omitempty"`
 }
 
-// ReadingTime returns how long a server that also writes answers takes to read a
+// PrefillTime returns how long a server that also writes answers takes to read a
 // prompt: after each part of it a stride of token steps is played.
-func (e *Engine) ReadingTime(tokens int) time.Duration {
-	if e.ReadPerSecond <= 0 {
+func (e *Engine) PrefillTime(tokens int) time.Duration {
+	if e.PrefillTokensPerSecond <= 0 {
 		return 0
 	}
-	reading := time.Duration(float64(tokens) / e.ReadPerSecond * float64(time.Second))
-	if e.ReadAtOnce <= 0 {
+	reading := time.Duration(float64(tokens) / e.PrefillTokensPerSecond * float64(time.Second))
+	if e.PrefillChunkTokens <= 0 {
 		return reading
 	}
-	return reading + time.Duration(float64(tokens)/float64(e.ReadAtOnce)*float64(e.Stride)*float64(e.Step))
+	return reading + time.Duration(float64(tokens)/float64(e.PrefillChunkTokens)*float64(e.StepsBetweenPrefills)*float64(e.StepTime))
 }
 
-// WritingTime returns how long a server whose batch is half full takes to write an
+// DecodeTime returns how long a server whose batch is half full takes to write an
 // answer.
-func (e *Engine) WritingTime(tokens float64) time.Duration {
-	return time.Duration(tokens * (float64(e.Step) + float64(e.StepPerRequest)*float64(e.Slots)/2))
+func (e *Engine) DecodeTime(tokens float64) time.Duration {
+	return time.Duration(tokens * (float64(e.StepTime) + float64(e.StepTimePerRequest)*float64(e.Slots)/2))
 }
 
 // Service is a group of backend servers that answer alike, or an origin of
@@ -176,37 +176,37 @@
 	Services      []Service      `cbor:"3,keyasint"`
 	Organisations []Organisation `cbor:"4,keyasint"`
 	Limits        Limits         `cbor:"5,keyasint"`
-	// Unread are the parts that could not be read, or not whole.
-	Unread Unread `cbor:"6,keyasint"`
+	// Unreadable are the parts that could not be read, or not whole.
+	Unreadable UnreadableParts `cbor:"6,keyasint"`
 }
 
-// Unread tells which parts of a configuration could not be read. What is missing there may
+// UnreadableParts tells which parts of a configuration could not be read. What is missing there may
 // have been written all the same.
-type Unread struct {
+type UnreadableParts struct {
 	Routes        bool `cbor:"1,keyasint,omitempty"`
 	Services      bool `cbor:"2,keyasint,omitempty"`
 	Organisations bool `cbor:"3,keyasint,omitempty"`
 	Limits        bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Over returns the configuration with the parts that could not be read as they stood before:
+// WithFallback returns the configuration with the parts that could not be read as they stood before:
 // neither does it refuse everybody for one of them, nor does it open what was closed.
-func (c *Configuration) Over(before *Configuration) *Configuration {
-	if before == nil || c.Unread == (Unread{}) {
+func (c *Configuration) WithFallback(before *Configuration) *Configuration {
+	if before == nil || c.Unreadable == (UnreadableParts{}) {
 		return c
 	}
 	filled := *c
-	if c.Unread.Routes {
+	if c.Unreadable.Routes {
 		filled.Routes = before.Routes
 	}
-	if c.Unread.Services {
+	if c.Unreadable.Services {
 		filled.Services = before.Services
 	}
 	// Without organisations no key is asked for; those that can't be read were written.
-	if c.Unread.Organisations && len(before.Organisations) > 0 {
+	if c.Unreadable.Organisations && len(before.Organisations) > 0 {
 		filled.Organisations = before.Organisations
 	}
-	if c.Unread.Limits {
+	if c.Unreadable.Limits {
 		filled.Limits = Limits{
 			HeaderBytes: cmp.Or(c.Limits.HeaderBytes, before.Limits.HeaderBytes), BodyBytes: cmp.Or(c.Limits.BodyBytes, before.Limits.BodyBytes),
 			HeaderTimeout: cmp.Or(c.Limits.HeaderTimeout, before.Limits.HeaderTimeout), IdleTimeout: cmp.Or(c.Limits.IdleTimeout, before.Limits.IdleTimeout),
@@ -224,7 +224,7 @@
 		kind      RouteKind
 		resumable bool
 	}
-	reduced := &Configuration{Version: c.Version, Services: c.Services, Unread: c.Unread}
+	reduced := &Configuration{Version: c.Version, Services: c.Services, Unreadable: c.Unreadable}
 	seen := make(map[way]bool)
 	for i := range c.Routes {
 		route := &c.Routes[i]
@@ -256,8 +256,8 @@
 	Layers  []LoadedLayers `cbor:"3,keyasint"`
 }
 
-// Whole returns the version of which all n layers are held, if there is one.
-func (m *LoadedModel) Whole(n int) (WeightsVersion, bool) {
+// CompleteVersion returns the version of which all n layers are held, if there is one.
+func (m *LoadedModel) CompleteVersion(n int) (WeightsVersion, bool) {
 	if n == 0 {
 		return m.Version, m.Version > 0
 	}
@@ -313,8 +313,8 @@
 	Incarnation member.Incarnation
 }
 
-// Wanted names the weights that all servers of a model should run.
-type Wanted struct {
+// DesiredVersion names the weights that all servers of a model should run.
+type DesiredVersion struct {
 	Model   ModelName      `cbor:"1,keyasint"`
 	Version WeightsVersion `cbor:"2,keyasint"`
 }
@@ -332,8 +332,8 @@
 	// MemoryUsed and MemoryTotal are in tokens times layers.
 	MemoryUsed  uint64
 	MemoryTotal uint64
-	// Pace is above 1 when the server is slow; 0 if it does not say.
-	Pace float64
+	// Slowdown is above 1 when the server is slow; 0 if it does not say.
+	Slowdown float64
 }
 
 // startUncertainty is the minimum time between a start of a server and an answer for the answer to be attributed to that start. It
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 )
 
 // A configuration of 1,400 routes went whole to every agent at every change.
-func TestWhatAgentsAreToldDoesNotGrowWithTheRoutes(t *testing.T) {
+func TestServicesOnlySizeIsIndependentOfRouteCount(t *testing.T) {
 	configuration := &Configuration{Version: 9, Services: []Service{{Name: "llm", Engine: &Engine{Layers: 4}}, {Name: "maps"}}}
 	route := func(service member.Service, kind RouteKind, resumable bool) {
 		configuration.Routes = append(configuration.Routes, Route{
@@ -27,7 +27,7 @@
 	require.NoError(t, err)
 	require.Equal(t, whole.Version, reduced.Version)
 	require.Less(t, len(reduced.Value), len(whole.Value)/100)
-	fact, err := FactOf(reduced)
+	fact, err := ParseFact(reduced)
 	require.NoError(t, err)
 	view := EmptyView().WithConfiguration(fact.Configuration, fact.Revision)
 	require.True(t, view.Resumable("llm"))
@@ -39,7 +39,7 @@
 }
 
 // A caller without a key has the empty one, and passed as the organisation that held it.
-func TestAnEmptyKeyNamesNobody(t *testing.T) {
+func TestEmptyKeyMatchesNoOrganisation(t *testing.T) {
 	view := EmptyView().WithConfiguration(&Configuration{Organisations: []Organisation{{Name: "kumiai", Keys: []APIKey{"", "k"}}}}, 3)
 	_, known := view.Organisation("")
 	require.False(t, known)
@@ -49,16 +49,16 @@
 }
 
 // An agent that is told services which could not be read keeps those that it knows.
-func TestAgentsAreToldWhatCouldNotBeRead(t *testing.T) {
+func TestServicesOnlyKeepsUnreadableParts(t *testing.T) {
 	before := &Configuration{Version: 4, Services: []Service{{Name: "llm", MaxConnections: 9}}}
-	unread := &Configuration{Version: 5, Unread: Unread{Services: true}}
+	unread := &Configuration{Version: 5, Unreadable: UnreadableParts{Services: true}}
 	whole, err := (&Fact{Key: ConfigurationKey(), Revision: 7, Configuration: unread}).Item()
 	require.NoError(t, err)
 	reduced, err := ServicesOnly(whole)
 	require.NoError(t, err)
-	told, err := FactOf(reduced)
+	told, err := ParseFact(reduced)
 	require.NoError(t, err)
-	filled := told.Configuration.Over(before)
+	filled := told.Configuration.WithFallback(before)
 	require.EqualValues(t, 5, filled.Version)
 	require.Equal(t, before.Services, filled.Services)
 	require.Empty(t, told.Configuration.Services, "what was told is left as it is")
--- a/pkg/fleet/view.go
+++ b/pkg/fleet/view.go
@@ -21,19 +21,19 @@
 	organisations map[APIKey]*Organisation
 	services      map[member.Service]*Service
 	servers       map[member.Service][]Server
-	wanted        map[ModelName]Named
+	published     map[ModelName]PublishedVersions
 	origin        *Service
 }
 
-// WantedSince is a wanted version with the time at which this process first
+// PublishedVersion is a wanted version with the time at which this process first
 // heard of it.
-type WantedSince struct {
-	Version  WeightsVersion
-	Revision Revision
-	Since    time.Time
-	// Witnessed is set if Since is when some process heard of the version as it was
+type PublishedVersion struct {
+	Version     WeightsVersion
+	Revision    Revision
+	PublishedAt time.Time
+	// Observed is set if Since is when some process heard of the version as it was
 	// named. Otherwise it was there when this process started, and Since is a guess.
-	Witnessed bool
+	Observed bool
 }
 
 // VersionAge is how long ago a version was named, as a process that heard of it
@@ -44,30 +44,30 @@
 	Age     time.Duration
 }
 
-// Named are the versions of a model that were named, oldest first. Before any
+// PublishedVersions are the versions of a model that were named, oldest first. Before any
 // was named it holds the first version, without a time.
-type Named []WantedSince
+type PublishedVersions []PublishedVersion
 
 // Newest returns the version that all servers should come to.
-func (n Named) Newest() WantedSince { return n[len(n)-1] }
+func (n PublishedVersions) Newest() PublishedVersion { return n[len(n)-1] }
 
-// Required returns the oldest version that may still start requests when each
+// OldestAllowed returns the oldest version that may still start requests when each
 // version bars those before it a bound after it was named; 0 if any may.
-func (n Named) Required(bound time.Duration, now time.Time) WeightsVersion {
+func (n PublishedVersions) OldestAllowed(bound time.Duration, now time.Time) WeightsVersion {
 	for i := len(n) - 1; i >= 0; i-- {
-		if !n[i].Since.IsZero() && now.Sub(n[i].Since) >= bound {
+		if !n[i].PublishedAt.IsZero() && now.Sub(n[i].PublishedAt) >= bound {
 			return n[i].Version
 		}
 	}
 	return 0
 }
 
-// Barred returns when a version may no longer start requests, a bound after a
+// CutoffTime returns when a version may no longer start requests, a bound after a
 // newer one was named; ok is false while none was.
-func (n Named) Barred(version WeightsVersion, bound time.Duration) (at time.Time, ok bool) {
+func (n PublishedVersions) CutoffTime(version WeightsVersion, bound time.Duration) (at time.Time, ok bool) {
 	for _, named := range n {
-		if named.Version > version && !named.Since.IsZero() {
-			return named.Since.Add(bound), true
+		if named.Version > version && !named.PublishedAt.IsZero() {
+			return named.PublishedAt.Add(bound), true
 		}
 	}
 	return time.Time{}, false
@@ -75,28 +75,28 @@
 
 // With returns the versions with another one added at its place: a process that started between
 // two names learns of the older one after the newer.
-func (n Named) With(added WantedSince) Named {
+func (n PublishedVersions) With(added PublishedVersion) PublishedVersions {
 	at := len(n)
 	for at > 0 && n[at-1].Version > added.Version {
 		at--
 	}
 	next := slices.Insert(slices.Clone(n), at, added)
-	return next[max(0, len(next)-namedKept):]
+	return next[max(0, len(next)-maxPublishedVersions):]
 }
 
 // Lacks reports whether a version is not among those that were named and would be kept with them.
-func (n Named) Lacks(version WeightsVersion) bool {
-	if len(n) == namedKept && version < n[0].Version {
+func (n PublishedVersions) Lacks(version WeightsVersion) bool {
+	if len(n) == maxPublishedVersions && version < n[0].Version {
 		return false
 	}
-	return !slices.ContainsFunc(n, func(named WantedSince) bool { return named.Version == version })
+	return !slices.ContainsFunc(n, func(named PublishedVersion) bool { return named.Version == version })
 }
 
-// Since returns when a version was named; the zero time if that is not known.
-func (n Named) Since(version WeightsVersion) time.Time {
+// PublishedAt returns when a version was named; the zero time if that is not known.
+func (n PublishedVersions) PublishedAt(version WeightsVersion) time.Time {
 	for _, named := range n {
 		if named.Version == version {
-			return named.Since
+			return named.PublishedAt
 		}
 	}
 	return time.Time{}
@@ -105,18 +105,18 @@
 // Corrected returns the versions with the time of one corrected by a witness: a
 // guess is replaced, and of two witnesses the one who heard sooner, by more than a
 // tolerance, is right. ok is false if nothing changes.
-func (n Named) Corrected(version WeightsVersion, since time.Time, tolerance time.Duration) (corrected Named, ok bool) {
-	at := slices.IndexFunc(n, func(named WantedSince) bool { return named.Version == version && !named.Since.IsZero() })
-	if at < 0 || n[at].Witnessed && since.After(n[at].Since.Add(-tolerance)) {
+func (n PublishedVersions) Corrected(version WeightsVersion, since time.Time, tolerance time.Duration) (corrected PublishedVersions, ok bool) {
+	at := slices.IndexFunc(n, func(named PublishedVersion) bool { return named.Version == version && !named.PublishedAt.IsZero() })
+	if at < 0 || n[at].Observed && since.After(n[at].PublishedAt.Add(-tolerance)) {
 		return n, false
 	}
 	corrected = slices.Clone(n)
-	corrected[at].Since, corrected[at].Witnessed = since, true
+	corrected[at].PublishedAt, corrected[at].Observed = since, true
 	return corrected, true
 }
 
-// namedKept is how many of the versions that were named last are remembered.
-const namedKept = 8
+// maxPublishedVersions is how many of the versions that were named last are remembered.
+const maxPublishedVersions = 8
 
 // EmptyView returns a view that knows nothing.
 func EmptyView() *View { return &View{} }
@@ -170,10 +170,10 @@
 	return &next
 }
 
-// WithWanted returns a view with other wanted weights.
-func (v *View) WithWanted(wanted map[ModelName]Named) *View {
+// WithPublishedVersions returns a view with other wanted weights.
+func (v *View) WithPublishedVersions(wanted map[ModelName]PublishedVersions) *View {
 	next := *v
-	next.wanted = wanted
+	next.published = wanted
 	return &next
 }
 
@@ -234,12 +234,12 @@
 // Origin returns the service that publishes weights; nil if there is none.
 func (v *View) Origin() *Service { return v.origin }
 
-// Wanted returns the versions that were named for a model.
-func (v *View) Wanted(model ModelName) Named {
-	if wanted, ok := v.wanted[model]; ok {
+// PublishedVersions returns the versions that were named for a model.
+func (v *View) PublishedVersions(model ModelName) PublishedVersions {
+	if wanted, ok := v.published[model]; ok {
 		return wanted
 	}
-	return Named{{Version: FirstVersion}}
+	return PublishedVersions{{Version: FirstVersion}}
 }
 
 // FirstVersion is the version that a model has before another one is named.
--- a/pkg/member/cell.go
+++ b/pkg/member/cell.go
@@ -8,20 +8,20 @@
 // of the servers of each region. So every cell is a small image of the whole fleet, and an
 // overload of one region, or the loss of one, weighs on all cells alike.
 const (
-	// cellBoxes is how many entry boxes a cell has at least before a fleet is divided: from
+	// boxesPerCell is how many entry boxes a cell has at least before a fleet is divided: from
 	// 12 to 23. Each tells the others of its cell some ten times a second; with 23 of them
 	// that is 230 messages of about 70 bytes a second, 16 KB of the 18 KB that a node may
 	// spend on control.
-	cellBoxes = 12
-	// cellServers is how many servers a cell has at most if it can be divided further. Their
+	boxesPerCell = 12
+	// maxServersPerCell is how many servers a cell has at most if it can be divided further. Their
 	// agents tell each entry box of the cell of them 2.5 times a second: 160 messages.
-	cellServers = 64
-	// cellBoxesLeast is below how many entry boxes a cell is not divided further, however
+	maxServersPerCell = 64
+	// minBoxesPerCell is below how many entry boxes a cell is not divided further, however
 	// many servers it has: so many do not fail together on an ordinary day.
-	cellBoxesLeast = 4
-	// cellServersLeast is the same for servers: with fewer, the places of a cell are taken
+	minBoxesPerCell = 4
+	// minServersPerCell is the same for servers: with fewer, the places of a cell are taken
 	// while those of others are free.
-	cellServersLeast = 4
+	minServersPerCell = 4
 )
 
 // CellCount returns into how many cells a fleet is divided: a power of two, so that a fleet
@@ -30,8 +30,8 @@
 	cells := 1
 	for {
 		next := 2 * cells
-		large := boxes >= cellBoxes*next || servers > cellServers*cells
-		if !large || boxes < cellBoxesLeast*next || !IsDivisible(servers, next) {
+		large := boxes >= boxesPerCell*next || servers > maxServersPerCell*cells
+		if !large || boxes < minBoxesPerCell*next || !IsDivisible(servers, next) {
 			return cells
 		}
 		cells = next
@@ -40,11 +40,11 @@
 
 // IsDivisible reports whether so many servers of a service are divided among cells. A service
 // with fewer is shared by all of them.
-func IsDivisible(servers, cells int) bool { return servers >= cellServersLeast*cells }
+func IsDivisible(servers, cells int) bool { return servers >= minServersPerCell*cells }
 
-// cellTries is how many cells are drawn for a key, as a multiple of the cells, before the
+// attemptsPerCell is how many cells are drawn for a key, as a multiple of the cells, before the
 // first one that has room is taken.
-const cellTries = 4
+const attemptsPerCell = 4
 
 // AssignCells divides keys evenly among cells: none has more than one key more than another.
 // Every process with the same keys gets the same answer, and a key that comes or goes moves
@@ -57,7 +57,7 @@
 	hasRoom := func(cell int) bool { return held[cell] < least || held[cell] == least && extra > 0 }
 	assigned := make(map[K]int, len(keys))
 	for _, key := range ordered {
-		cell := drawCell(key, cells, hasRoom)
+		cell := chooseCell(key, cells, hasRoom)
 		if held[cell] == least {
 			extra--
 		}
@@ -67,9 +67,9 @@
 	return assigned
 }
 
-// drawCell returns the first cell with room in the order that belongs to a key.
-func drawCell[K ~string](key K, cells int, hasRoom func(cell int) bool) int {
-	for try := range cellTries * cells {
+// chooseCell returns the first cell with room in the order that belongs to a key.
+func chooseCell[K ~string](key K, cells int, hasRoom func(cell int) bool) int {
+	for try := range attemptsPerCell * cells {
 		if cell := int(Score("cell-"+strconv.Itoa(try), string(key)) % uint64(cells)); hasRoom(cell) {
 			return cell
 		}
--- a/pkg/member/cell_test.go
+++ b/pkg/member/cell_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestAFleetIsDividedByItsSize(t *testing.T) {
+func TestCellCountFollowsFleetSize(t *testing.T) {
 	for _, fleet := range []struct{ boxes, servers, cells int }{
 		{1, 0, 1},
 		{6, 12, 1},
@@ -27,7 +27,7 @@
 	}
 }
 
-func names(n int) []string {
+func testAddresses(n int) []string {
 	all := make([]string, 0, n)
 	for i := range n {
 		all = append(all, fmt.Sprintf("10.0.%d.%d:1", i/250, i%250))
@@ -35,11 +35,11 @@
 	return all
 }
 
-func TestCellsAreOfOneSize(t *testing.T) {
+func TestAssignCellsBalancesKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, cells := rapid.IntRange(0, 300).Draw(t, "keys"), 1<<rapid.IntRange(0, 5).Draw(t, "cells")
 		sizes := make([]int, cells)
-		assigned := AssignCells(names(n), cells)
+		assigned := AssignCells(testAddresses(n), cells)
 		for _, cell := range assigned {
 			sizes[cell]++
 		}
@@ -53,11 +53,11 @@
 
 // A server that comes makes few others change their cells; dealt out in turn, half of them
 // would.
-func TestAKeyThatComesMovesFewOthers(t *testing.T) {
+func TestAddedKeyMovesFewOtherKeys(t *testing.T) {
 	const cells = 8
 	moved, steps := 0, 0
 	for n := 24; n < 42; n++ {
-		before, after := AssignCells(names(n), cells), AssignCells(names(n+1), cells)
+		before, after := AssignCells(testAddresses(n), cells), AssignCells(testAddresses(n+1), cells)
 		for key, cell := range before {
 			if after[key] != cell {
 				moved++
@@ -72,7 +72,7 @@
 func BenchmarkAssignCells(b *testing.B) {
 	for _, size := range []struct{ keys, cells int }{{40, 8}, {2000, 256}} {
 		b.Run(fmt.Sprintf("keys=%d/cells=%d", size.keys, size.cells), func(b *testing.B) {
-			keys := names(size.keys)
+			keys := testAddresses(size.keys)
 			for b.Loop() {
 				AssignCells(keys, size.cells)
 			}
--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -88,11 +88,11 @@
 	Version  table.ModelVersion `json:"version" cbor:"2,keyasint,omitempty"`
 	Manifest weights.Digest     `json:"manifest" cbor:"3,keyasint,omitempty"`
 	Phase    Phase              `json:"phase" cbor:"4,keyasint,omitempty"`
-	// Chunks is how many chunks were held when the record was written.
-	Chunks int `json:"chunks,omitempty" cbor:"5,keyasint,omitempty"`
-	Total  int `json:"total,omitempty" cbor:"6,keyasint,omitempty"`
-	// Waits says why the copy does not advance, if it does not.
-	Waits string `json:"waits,omitempty" cbor:"7,keyasint,omitempty"`
+	// HeldChunks is how many chunks were held when the record was written.
+	HeldChunks  int `json:"chunks,omitempty" cbor:"5,keyasint,omitempty"`
+	TotalChunks int `json:"total,omitempty" cbor:"6,keyasint,omitempty"`
+	// WaitReason says why the copy does not advance, if it does not.
+	WaitReason string `json:"waits,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
 // Record is what a box says of itself.
--- a/pkg/member/member_test.go
+++ b/pkg/member/member_test.go
@@ -12,7 +12,7 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-func TestSilentMarkLosesToTheBoxesNextRecord(t *testing.T) {
+func TestNewerRecordReplacesSilentMark(t *testing.T) {
 	store := state.NewStore(1)
 	put := func(record Record) bool {
 		item, err := record.Item()
@@ -32,21 +32,21 @@
 	require.False(t, put(own), "a message of the earlier incarnation is refused")
 }
 
-func TestMonitorTellsSilenceOnce(t *testing.T) {
+func TestMonitorReportsSilentBoxOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := NewMonitor(3 * time.Second)
-	m.Heard("a", now)
-	m.Heard("b", now.Add(2*time.Second))
-	require.Empty(t, m.Silent(now.Add(3*time.Second)))
-	require.Equal(t, []BoxID{"a"}, m.Silent(now.Add(4*time.Second)))
-	require.Empty(t, m.Silent(now.Add(4*time.Second)))
-	require.True(t, m.HeardLately("b", now.Add(4*time.Second)))
-	m.Excuse(now.Add(time.Hour))
-	require.Empty(t, m.Silent(now.Add(time.Hour)), "a monitor that stood still itself marks nobody")
+	m.RecordHeartbeat("a", now)
+	m.RecordHeartbeat("b", now.Add(2*time.Second))
+	require.Empty(t, m.RemoveSilent(now.Add(3*time.Second)))
+	require.Equal(t, []BoxID{"a"}, m.RemoveSilent(now.Add(4*time.Second)))
+	require.Empty(t, m.RemoveSilent(now.Add(4*time.Second)))
+	require.True(t, m.HasRecentHeartbeat("b", now.Add(4*time.Second)))
+	m.ResetAll(now.Add(time.Hour))
+	require.Empty(t, m.RemoveSilent(now.Add(time.Hour)), "a monitor that stood still itself marks nobody")
 }
 
 // A candidate that goes away moves only the keys that it had.
-func TestRankMovesOnlyWhatMust(t *testing.T) {
+func TestRankKeepsOrderWhenCandidateIsRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var candidates []string
 		for i := range rapid.IntRange(2, 20).Draw(t, "candidates") {
@@ -73,7 +73,7 @@
 
 // Every member is reached from the roots in few steps, nobody has many children,
 // and one that goes away moves few others.
-func TestTreeReachesEveryMemberWithABoundedFan(t *testing.T) {
+func TestTreeReachesEveryMemberWithBoundedFanout(t *testing.T) {
 	for _, count := range []int{1, 2, 3, 7, 50, 366, 2200} {
 		var boxes []BoxID
 		for i := range count {
@@ -94,7 +94,7 @@
 				moved++
 			}
 		}
-		require.Len(t, tree.Roots(), min(Roots, count))
+		require.Len(t, tree.Roots(), min(MaxRoots, count))
 		require.LessOrEqual(t, deepest, 5, "%d members", count)
 		for box, fan := range children {
 			require.LessOrEqual(t, fan, 5*Fanout, "%s of %d", box, count)
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestOnlyALoadedVersionOfABoxThatIsUpIsLive(t *testing.T) {
+func TestIsLiveRequiresLiveCopyOnBoxThatIsUp(t *testing.T) {
 	record := Record{Status: StatusUp, Copies: []Copy{
 		{Model: "m", Version: "v1", Phase: PhaseLive}, {Model: "m", Version: "v2", Phase: PhaseLoading},
 	}}
@@ -143,7 +143,7 @@
 	record := Record{
 		Box: "kita-a-agent-0001", Role: RoleAgent, Region: "kita", FailureDomain: "kita-a", Peers: "10.0.0.1:7000",
 		Incarnation: 1, Sequence: 1, Status: StatusUp, Models: []table.Model{"kakiwake"}, Slots: 2,
-		Copies: []Copy{{Model: "kakiwake", Version: "2026.12", Phase: PhaseLive, Total: 3500}},
+		Copies: []Copy{{Model: "kakiwake", Version: "2026.12", Phase: PhaseLive, TotalChunks: 3500}},
 	}
 	item, err := record.Item()
 	require.NoError(b, err)
--- a/pkg/member/neighbours.go
+++ b/pkg/member/neighbours.go
@@ -7,7 +7,7 @@
 const (
 	domainRings = 2
 	regionRings = 1
-	farRings    = 1
+	remoteRings = 1
 )
 
 // Neighbours chooses the boxes that a box exchanges chunks with: half of its own
@@ -24,7 +24,7 @@
 	var chosen []Record
 	add := func(name string, rings int, belongs func(Record) bool) {
 		for ring := range rings {
-			for _, record := range beside(name+string(rune('0'+ring)), self, candidates, belongs) {
+			for _, record := range ringNeighbours(name+string(rune('0'+ring)), self, candidates, belongs) {
 				if !containsBox(chosen, record.Box) {
 					chosen = append(chosen, record)
 				}
@@ -33,7 +33,7 @@
 	}
 	add("domain", domainRings, domain)
 	add("region", regionRings, region)
-	add("far", farRings, anywhere)
+	add("far", remoteRings, anywhere)
 	// Small groups share their neighbours, so further rings fill up.
 	for ring := 0; len(chosen) < NeighboursPerBox && ring < NeighboursPerBox; ring++ {
 		add("more"+string(rune('0'+ring)), 1, anywhere)
@@ -50,8 +50,8 @@
 	return false
 }
 
-// beside returns the boxes before and after a box on one ring.
-func beside(ring string, self Record, candidates []Record, belongs func(Record) bool) []Record {
+// ringNeighbours returns the boxes before and after a box on one ring.
+func ringNeighbours(ring string, self Record, candidates []Record, belongs func(Record) bool) []Record {
 	own := Score(ring, string(self.Box))
 	var before, after, first, last *Record
 	var beforeScore, afterScore, firstScore, lastScore uint64
--- a/pkg/member/tree.go
+++ b/pkg/member/tree.go
@@ -3,8 +3,8 @@
 // Fanout is how many children an inner member of a tree has on average.
 const Fanout = 4
 
-// Roots is how many members of a tree stand at its top.
-const Roots = 2
+// MaxRoots is how many members of a tree stand at its top.
+const MaxRoots = 2
 
 // Tree arranges the members of one region so that news reaches all of them while
 // each sends to few. Members are ordered by rendezvous; the first are the roots,
@@ -13,36 +13,36 @@
 // process with the same members gets the same tree, and a member that comes or
 // goes moves few others.
 type Tree struct {
-	ordered []BoxID
-	place   map[BoxID]int
+	ordered  []BoxID
+	position map[BoxID]int
 }
 
 // NewTree arranges members under a name, such as that of the region.
 func NewTree(name string, members []BoxID) *Tree {
-	t := &Tree{ordered: Rank("tree/"+name, members, len(members)), place: make(map[BoxID]int, len(members))}
+	t := &Tree{ordered: Rank("tree/"+name, members, len(members)), position: make(map[BoxID]int, len(members))}
 	for i, box := range t.ordered {
-		t.place[box] = i
+		t.position[box] = i
 	}
 	return t
 }
 
 // Roots returns the members at the top, at most Roots of them.
-func (t *Tree) Roots() []BoxID { return t.ordered[:min(Roots, len(t.ordered))] }
+func (t *Tree) Roots() []BoxID { return t.ordered[:min(MaxRoots, len(t.ordered))] }
 
 // IsRoot reports whether a member stands at the top.
 func (t *Tree) IsRoot(box BoxID) bool {
-	place, ok := t.place[box]
-	return ok && place < Roots
+	place, ok := t.position[box]
+	return ok && place < MaxRoots
 }
 
 // Parent returns the member that a member reads from; ok is false for roots and
 // for boxes that are no members.
 func (t *Tree) Parent(box BoxID) (parent BoxID, ok bool) {
-	place, known := t.place[box]
-	if !known || place < Roots {
+	place, known := t.position[box]
+	if !known || place < MaxRoots {
 		return "", false
 	}
-	start, size := 0, Roots
+	start, size := 0, MaxRoots
 	for place >= start+size+size*Fanout {
 		start, size = start+size, size*Fanout
 	}
--- a/pkg/plan/place.go
+++ b/pkg/plan/placement.go
@@ -8,15 +8,15 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// place chooses the boxes of each version. Boxes that hold a version keep it
+// placeReplicas chooses the boxes of each version. Boxes that hold a version keep it
 // first; the rest go where the version has the fewest boxes of a domain.
-func (p *modelPlan) place(targets map[table.ModelVersion]int) map[table.ModelVersion][]member.BoxID {
+func (p *modelPlan) placeReplicas(targets map[table.ModelVersion]int) map[table.ModelVersion][]member.BoxID {
 	carriers := make(map[table.ModelVersion][]member.BoxID, len(targets))
 	taken := make(map[member.BoxID]bool, len(p.pool))
 	versions := slices.Sorted(maps.Keys(targets))
-	spreads := make(map[table.ModelVersion]*spread, len(versions))
+	spreads := make(map[table.ModelVersion]*domainSpread, len(versions))
 	for _, version := range versions {
-		spreads[version] = &spread{count: make(map[member.FailureDomain]int)}
+		spreads[version] = &domainSpread{count: make(map[member.FailureDomain]int)}
 		holders := p.byDomain(func(box *member.Record) bool { return p.holds(box, version) })
 		carriers[version] = spreads[version].fill(nil, targets[version], holders, taken)
 	}
@@ -56,13 +56,13 @@
 	return "", false
 }
 
-// spread counts the boxes of one version by failure domain.
-type spread struct {
+// domainSpread counts the boxes of one version by failure domain.
+type domainSpread struct {
 	count map[member.FailureDomain]int
 }
 
 // fill adds boxes up to the target, each from the domain with the fewest.
-func (s *spread) fill(chosen []member.BoxID, target int, from *domainBoxes, taken map[member.BoxID]bool) []member.BoxID {
+func (s *domainSpread) fill(chosen []member.BoxID, target int, from *domainBoxes, taken map[member.BoxID]bool) []member.BoxID {
 	for len(chosen) < target {
 		var best member.BoxID
 		var bestDomain member.FailureDomain
@@ -87,7 +87,7 @@
 
 // holds reports whether a box has the version or was told to get it.
 func (p *modelPlan) holds(box *member.Record, version table.ModelVersion) bool {
-	if p.in.Previous.Boxes[box.Box].carries(p.model, version) {
+	if p.in.Previous.Boxes[box.Box].includes(p.model, version) {
 		return true
 	}
 	return slices.ContainsFunc(box.Copies, func(c member.Copy) bool {
--- a/pkg/plan/plan.go
+++ b/pkg/plan/plan.go
@@ -35,8 +35,8 @@
 	HeadKey   = "plan/head"
 )
 
-// Weights is one version of a model, pinned by its manifest.
-type Weights struct {
+// PinnedVersion is one version of a model, pinned by its manifest.
+type PinnedVersion struct {
 	Model    table.Model        `json:"model" cbor:"1,keyasint,omitempty"`
 	Version  table.ModelVersion `json:"version" cbor:"2,keyasint,omitempty"`
 	Manifest weights.Digest     `json:"manifest" cbor:"3,keyasint,omitempty"`
@@ -44,7 +44,7 @@
 
 // Assignment is what one box carries.
 type Assignment struct {
-	Weights []Weights `json:"weights" cbor:"1,keyasint,omitempty"`
+	Versions []PinnedVersion `json:"weights" cbor:"1,keyasint,omitempty"`
 }
 
 // RowPlan is what is in force for one row.
@@ -54,13 +54,13 @@
 	Serving table.ModelVersion `json:"serving" cbor:"2,keyasint,omitempty"`
 	Target  table.ModelVersion `json:"target" cbor:"3,keyasint,omitempty"`
 	// Previous stays loaded until Until.
-	Previous table.ModelVersion `json:"previous,omitempty" cbor:"4,keyasint,omitempty"`
-	Until    time.Time          `json:"until,omitzero" cbor:"5,keyasint,omitzero"`
+	Previous    table.ModelVersion `json:"previous,omitempty" cbor:"4,keyasint,omitempty"`
+	RetainUntil time.Time          `json:"until,omitzero" cbor:"5,keyasint,omitzero"`
 	// Replicas is how many boxes carry Target, Live on how many it is loaded.
 	Replicas int `json:"replicas" cbor:"6,keyasint,omitempty"`
 	Live     int `json:"live" cbor:"7,keyasint,omitempty"`
-	// Waits says why Serving is not Target yet.
-	Waits string `json:"waits,omitempty" cbor:"8,keyasint,omitempty"`
+	// WaitReason says why Serving is not Target yet.
+	WaitReason string `json:"waits,omitempty" cbor:"8,keyasint,omitempty"`
 }
 
 // Head names a plan as a whole.
@@ -79,17 +79,17 @@
 
 // Options tunes the decision.
 type Options struct {
-	// Linger is how long a version that no longer serves stays loaded; longer
+	// Retention is how long a version that no longer serves stays loaded; longer
 	// than a change takes to be in force everywhere.
-	Linger time.Duration
-	// Ready is the part of a version's reachable replicas that must be live
+	Retention time.Duration
+	// ReadyFraction is the part of a version's reachable replicas that must be live
 	// before it answers, beside the group's floor.
-	Ready float64
+	ReadyFraction float64
 }
 
 // DefaultOptions holds for changes in force within 8 s.
 func DefaultOptions() Options {
-	return Options{Linger: 10 * time.Second, Ready: 0.5}
+	return Options{Retention: 10 * time.Second, ReadyFraction: 0.5}
 }
 
 // Input is all that a plan depends on.
@@ -103,16 +103,16 @@
 	Now       time.Time
 	Options   Options
 
-	// named holds the models of the rows.
-	named map[table.Model]bool
+	// models holds the models of the rows.
+	models map[table.Model]bool
 }
 
 // The reasons for which a row waits.
 const (
-	waitsForVersion = "version not found in the weight store"
-	waitsForBoxes   = "no box of the pool is up"
-	waitsForLive    = "too few boxes have the version live"
-	waitsForRoom    = "too few boxes have room for it beside the version in service"
+	reasonVersionNotFound = "version not found in the weight store"
+	reasonNoBoxUp         = "no box of the pool is up"
+	reasonTooFewLive      = "too few boxes have the version live"
+	reasonNoRoom          = "too few boxes have room for it beside the version in service"
 )
 
 // Next returns the plan that follows from the input.
@@ -122,9 +122,9 @@
 	for _, row := range in.Rows {
 		byModel[row.Model] = append(byModel[row.Model], row)
 	}
-	in.named = make(map[table.Model]bool, len(byModel))
+	in.models = make(map[table.Model]bool, len(byModel))
 	for model := range byModel {
-		in.named[model] = true
+		in.models[model] = true
 	}
 	for _, model := range slices.Sorted(maps.Keys(byModel)) {
 		newModelPlan(&in, model, byModel[model]).decide(&next)
@@ -174,7 +174,7 @@
 func (p *modelPlan) decide(next *Plan) {
 	shares := p.shares()
 	targets := p.targets(shares)
-	carriers := p.place(targets)
+	carriers := p.placeReplicas(targets)
 	for i, row := range p.rows {
 		next.Rows[row.Key()] = p.rowPlan(row, shares[i], carriers[row.Version])
 	}
@@ -185,7 +185,7 @@
 	demands := make([]Demand, 0, len(p.rows))
 	for _, row := range p.rows {
 		demands = append(demands, Demand{
-			Weight: row.Weight, Floor: row.Floor, Ceiling: row.Ceiling, Wanted: 1,
+			Weight: row.Weight, Floor: row.Floor, Ceiling: row.Ceiling, Requested: 1,
 		})
 	}
 	return Shares(demands)
@@ -220,31 +220,31 @@
 	before := p.in.Previous.Rows[row.Key()]
 	out := RowPlan{
 		Share: share, Target: row.Version, Serving: before.Serving,
-		Previous: before.Previous, Until: before.Until,
+		Previous: before.Previous, RetainUntil: before.RetainUntil,
 		Replicas: len(carriers), Live: p.liveOn(row.Version),
 	}
 	if out.Serving == "" {
-		out.Serving = p.firstServing(row)
+		out.Serving = p.initialServing(row)
 	}
 	if out.Serving != row.Version {
-		out.Waits = p.waits(row, &out)
-		if out.Waits == "" {
+		out.WaitReason = p.waitReason(row, &out)
+		if out.WaitReason == "" {
 			out.Previous = out.Serving
-			out.Until = p.in.Now.Add(p.in.Options.Linger).UTC().Round(0)
+			out.RetainUntil = p.in.Now.Add(p.in.Options.Retention).UTC().Round(0)
 			out.Serving = row.Version
 		}
 	}
-	if !out.Until.IsZero() && !p.in.Now.Before(out.Until) {
+	if !out.RetainUntil.IsZero() && !p.in.Now.Before(out.RetainUntil) {
 		out.Previous = ""
-		out.Until = time.Time{}
+		out.RetainUntil = time.Time{}
 	}
 	return out
 }
 
-// firstServing is for a row without a plan: a new planner that lost the old
+// initialServing is for a row without a plan: a new planner that lost the old
 // plan must not take a version out of service that is live, so it prefers the
 // table's version only where it is live or nothing else is.
-func (p *modelPlan) firstServing(row table.Row) table.ModelVersion {
+func (p *modelPlan) initialServing(row table.Row) table.ModelVersion {
 	if p.liveOn(row.Version) > 0 {
 		return row.Version
 	}
@@ -257,33 +257,33 @@
 	return best
 }
 
-// waits says why the row's version cannot answer yet; empty if it can.
-func (p *modelPlan) waits(row table.Row, out *RowPlan) string {
+// waitReason says why the row's version cannot answer yet; empty if it can.
+func (p *modelPlan) waitReason(row table.Row, out *RowPlan) string {
 	if _, published := p.manifest(row.Version); !published {
-		return waitsForVersion
+		return reasonVersionNotFound
 	}
 	if len(p.pool) == 0 {
-		return waitsForBoxes
+		return reasonNoBoxUp
 	}
 	floor := int(math.Ceil(row.Floor * float64(len(p.pool))))
-	assigned := p.assignedTo(row.Version)
-	ready := int(math.Ceil(p.in.Options.Ready * float64(min(out.Replicas, max(1, assigned)))))
+	assigned := p.assignedCount(row.Version)
+	ready := int(math.Ceil(p.in.Options.ReadyFraction * float64(min(out.Replicas, max(1, assigned)))))
 	need := max(1, min(out.Replicas, floor), ready)
 	switch {
 	case out.Live >= need:
 		return ""
 	case assigned > 0 && assigned < need:
-		return waitsForRoom
+		return reasonNoRoom
 	}
-	return waitsForLive
+	return reasonTooFewLive
 }
 
-// assignedTo counts the boxes that the previous plan gave a version to. It can
+// assignedCount counts the boxes that the previous plan gave a version to. It can
 // be fewer than are to carry it, where old versions still take the room.
-func (p *modelPlan) assignedTo(version table.ModelVersion) int {
+func (p *modelPlan) assignedCount(version table.ModelVersion) int {
 	count := 0
 	for i := range p.pool {
-		if p.in.Previous.Boxes[p.pool[i].Box].carries(p.model, version) {
+		if p.in.Previous.Boxes[p.pool[i].Box].includes(p.model, version) {
 			count++
 		}
 	}
--- a/pkg/plan/plan_test.go
+++ b/pkg/plan/plan_test.go
@@ -16,7 +16,7 @@
 )
 
 func demand(weight, floor, ceiling, wanted float64) Demand {
-	return Demand{Weight: weight, Floor: floor, Ceiling: ceiling, Wanted: wanted}
+	return Demand{Weight: weight, Floor: floor, Ceiling: ceiling, Requested: wanted}
 }
 
 func TestSharesFollowWeightsWithinFloorsAndCeilings(t *testing.T) {
@@ -54,7 +54,7 @@
 		sum := 0.0
 		for i, share := range shares {
 			sum += share
-			high := math.Max(demands[i].Floor, math.Min(demands[i].Ceiling, demands[i].Wanted))
+			high := math.Max(demands[i].Floor, math.Min(demands[i].Ceiling, demands[i].Requested))
 			if share < demands[i].Floor-1e-9 || share > high+1e-9 {
 				t.Fatalf("share %v of %+v", share, demands[i])
 			}
@@ -79,17 +79,17 @@
 	require.Equal(t, []int{0, 0}, Apportion([]float64{0, 0}, 4))
 }
 
-// pool is a fake of the boxes: they load what they are assigned after a while.
-type pool struct {
+// fakePool is a fake of the boxes: they load what they are assigned after a while.
+type fakePool struct {
 	records []member.Record
 	plan    Plan
 	now     time.Time
 }
 
-func digest(version table.ModelVersion) weights.Digest { return weights.Sum([]byte(version)) }
+func testDigest(version table.ModelVersion) weights.Digest { return weights.Sum([]byte(version)) }
 
-func newPool(boxes, domains int) *pool {
-	p := &pool{now: time.Unix(1_000_000, 0).UTC()}
+func newFakePool(boxes, domains int) *fakePool {
+	p := &fakePool{now: time.Unix(1_000_000, 0).UTC()}
 	for i := range boxes {
 		p.records = append(p.records, member.Record{
 			Box: member.BoxID(fmt.Sprintf("box-%05d", i)), Role: member.RoleAgent, Status: member.StatusUp,
@@ -100,10 +100,10 @@
 	return p
 }
 
-func (p *pool) input(rows []table.Row, versions ...table.ModelVersion) Input {
+func (p *fakePool) input(rows []table.Row, versions ...table.ModelVersion) Input {
 	pins := make(map[table.ModelVersion]weights.Digest)
 	for _, version := range versions {
-		pins[version] = digest(version)
+		pins[version] = testDigest(version)
 	}
 	return Input{
 		Rows: rows, Boxes: p.records, Previous: p.plan, Now: p.now, Options: DefaultOptions(),
@@ -111,15 +111,15 @@
 	}
 }
 
-// obey lets a box load one missing version and drop what is not assigned.
-func (p *pool) obey(i int) {
+// applyAssignment lets a box load one missing version and drop what is not assigned.
+func (p *fakePool) applyAssignment(i int) {
 	record := &p.records[i]
 	if record.Status != member.StatusUp {
 		return
 	}
-	assigned := p.plan.Boxes[record.Box].Weights
+	assigned := p.plan.Boxes[record.Box].Versions
 	record.Copies = slices.DeleteFunc(slices.Clone(record.Copies), func(c member.Copy) bool {
-		return !slices.ContainsFunc(assigned, func(w Weights) bool { return w.Model == c.Model && w.Version == c.Version })
+		return !slices.ContainsFunc(assigned, func(w PinnedVersion) bool { return w.Model == c.Model && w.Version == c.Version })
 	})
 	for _, w := range assigned {
 		if !record.IsLive(w.Model, w.Version) && len(record.Copies) < record.Slots {
@@ -129,7 +129,7 @@
 	}
 }
 
-func (p *pool) live(model table.Model, version table.ModelVersion) int {
+func (p *fakePool) liveCount(model table.Model, version table.ModelVersion) int {
 	live := 0
 	for _, record := range p.records {
 		if record.IsLive(model, version) {
@@ -144,51 +144,51 @@
 }
 
 func TestVersionsAreSpreadOverFailureDomains(t *testing.T) {
-	p := newPool(12, 3)
+	p := newFakePool(12, 3)
 	next := Next(p.input([]table.Row{row("a", 1, 0, "v1"), row("b", 1, 0, "v2")}, "v1", "v2"))
 	count := make(map[string]int)
 	for _, record := range p.records {
-		for _, w := range next.Boxes[record.Box].Weights {
+		for _, w := range next.Boxes[record.Box].Versions {
 			count[string(w.Version)+string(record.FailureDomain)]++
 		}
 	}
 	require.Equal(t, map[string]int{"v1d0": 2, "v1d1": 2, "v1d2": 2, "v2d0": 2, "v2d1": 2, "v2d2": 2}, count)
 }
 
-func TestSecondPlanOfTheSameInputMovesNothing(t *testing.T) {
-	p := newPool(50, 4)
+func TestNextIsStableForUnchangedInput(t *testing.T) {
+	p := newFakePool(50, 4)
 	in := p.input([]table.Row{row("a", 3, 0, "v1"), row("b", 1, 0, "v2")}, "v1", "v2")
 	in.Previous = Next(in)
 	require.Equal(t, in.Previous, Next(in))
 }
 
 func TestUnpublishedVersionLeavesTheOldOneInService(t *testing.T) {
-	p := newPool(4, 2)
+	p := newFakePool(4, 2)
 	p.plan = Next(p.input([]table.Row{row("a", 1, 0, "v1")}, "v1"))
 	for i := range p.records {
-		p.obey(i)
+		p.applyAssignment(i)
 	}
 	p.plan = Next(p.input([]table.Row{row("a", 1, 0, "v2")}, "v1"))
 	decided := p.plan.Rows[table.Key{Group: "a", Model: "m"}]
 	require.Equal(t, table.ModelVersion("v1"), decided.Serving)
-	require.Equal(t, waitsForVersion, decided.Waits)
-	require.Len(t, p.plan.Boxes["box-00000"].Weights, 1, "the old version stays assigned")
+	require.Equal(t, reasonVersionNotFound, decided.WaitReason)
+	require.Len(t, p.plan.Boxes["box-00000"].Versions, 1, "the old version stays assigned")
 }
 
-func TestNewPlannerWithoutAPlanKeepsWhatIsLive(t *testing.T) {
-	p := newPool(4, 2)
+func TestNextWithoutPreviousPlanKeepsLiveVersion(t *testing.T) {
+	p := newFakePool(4, 2)
 	p.plan = Next(p.input([]table.Row{row("a", 1, 0, "v1")}, "v1"))
 	for i := range p.records {
-		p.obey(i)
+		p.applyAssignment(i)
 	}
 	p.plan = Plan{}
 	p.plan = Next(p.input([]table.Row{row("a", 1, 0, "v2")}, "v1", "v2"))
 	require.Equal(t, table.ModelVersion("v1"), p.plan.Rows[table.Key{Group: "a", Model: "m"}].Serving)
-	require.Equal(t, 4, p.live("m", "v1"))
+	require.Equal(t, 4, p.liveCount("m", "v1"))
 }
 
 func TestSilentBoxKeepsItsAssignment(t *testing.T) {
-	p := newPool(4, 2)
+	p := newFakePool(4, 2)
 	in := p.input([]table.Row{row("a", 1, 0, "v1")}, "v1")
 	p.plan = Next(in)
 	before := p.plan.Boxes["box-00002"]
@@ -202,7 +202,7 @@
 func TestRolloutNeverTakesAGroupBelowItsFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		versions := []table.ModelVersion{"v1", "v2", "v3"}
-		p := newPool(rapid.IntRange(2, 12).Draw(t, "boxes"), rapid.IntRange(1, 3).Draw(t, "domains"))
+		p := newFakePool(rapid.IntRange(2, 12).Draw(t, "boxes"), rapid.IntRange(1, 3).Draw(t, "domains"))
 		rows := []table.Row{row("a", 1, 0.4, "v1"), row("b", 2, 0.2, "v1")}
 		if rapid.Bool().Draw(t, "second model") {
 			rows = append(rows, table.Row{Group: "a", Model: "n", Weight: 1, Floor: 0.3, Ceiling: 1, Version: "v1"})
@@ -217,35 +217,35 @@
 			case 1:
 				p.now = p.now.Add(rapid.SampledFrom([]time.Duration{time.Second, 20 * time.Second}).Draw(t, "passes"))
 			case 2, 3, 4:
-				p.step(t, rows, versions)
+				p.replan(t, rows, versions)
 			default:
-				p.obey(rapid.IntRange(0, len(p.records)-1).Draw(t, "box"))
+				p.applyAssignment(rapid.IntRange(0, len(p.records)-1).Draw(t, "box"))
 			}
 		}
 		for range 10 * len(p.records) {
 			p.now = p.now.Add(time.Second)
-			p.step(t, rows, versions)
+			p.replan(t, rows, versions)
 			for i := range p.records {
-				p.obey(i)
+				p.applyAssignment(i)
 			}
 		}
 		for _, r := range rows {
 			decided := p.plan.Rows[r.Key()]
 			if decided.Serving != r.Version {
-				t.Fatalf("row %v still answers with %s: %s", r.Key(), decided.Serving, decided.Waits)
+				t.Fatalf("row %v still answers with %s: %s", r.Key(), decided.Serving, decided.WaitReason)
 			}
 		}
 	})
 }
 
-// step plans anew and checks what must hold at each moment.
-func (p *pool) step(t *rapid.T, rows []table.Row, versions []table.ModelVersion) {
+// replan plans anew and checks what must hold at each moment.
+func (p *fakePool) replan(t *rapid.T, rows []table.Row, versions []table.ModelVersion) {
 	before := p.plan
 	p.plan = Next(p.input(rows, versions...))
 	for _, r := range rows {
 		was, had := before.Rows[r.Key()]
 		now := p.plan.Rows[r.Key()]
-		if had && now.Serving != was.Serving && p.live(r.Model, now.Serving) == 0 {
+		if had && now.Serving != was.Serving && p.liveCount(r.Model, now.Serving) == 0 {
 			t.Fatalf("row %v was moved to %s, which is live nowhere", r.Key(), now.Serving)
 		}
 		floor := int(math.Ceil(r.Floor * float64(len(p.records))))
@@ -253,15 +253,15 @@
 		// still have it; that it goes there is not this plan's doing.
 		live, kept := 0, 0
 		for _, record := range p.records {
-			assigned := p.plan.Boxes[record.Box].Weights
+			assigned := p.plan.Boxes[record.Box].Versions
 			if len(assigned) > record.Slots {
 				t.Fatalf("box %s is assigned %d versions, %d fit", record.Box, len(assigned), record.Slots)
 			}
 			was, told := before.Boxes[record.Box]
-			if record.IsLive(r.Model, now.Serving) && (!told || was.carries(r.Model, now.Serving)) {
+			if record.IsLive(r.Model, now.Serving) && (!told || was.includes(r.Model, now.Serving)) {
 				live++
 			}
-			if record.IsLive(r.Model, now.Serving) && p.plan.Boxes[record.Box].carries(r.Model, now.Serving) {
+			if record.IsLive(r.Model, now.Serving) && p.plan.Boxes[record.Box].includes(r.Model, now.Serving) {
 				kept++
 			}
 		}
@@ -274,7 +274,7 @@
 func BenchmarkNext(b *testing.B) {
 	for _, boxes := range []int{1_000, 4_000, 12_000} {
 		b.Run(fmt.Sprintf("boxes=%d", boxes), func(b *testing.B) {
-			p := newPool(boxes, 13)
+			p := newFakePool(boxes, 13)
 			in := p.input(benchmarkRows(), "v1", "v2")
 			in.Previous = Next(in)
 			b.ReportAllocs()
--- a/pkg/plan/keep.go
+++ b/pkg/plan/retention.go
@@ -15,19 +15,19 @@
 func (p *modelPlan) countLive() {
 	p.live = make(map[table.ModelVersion]int)
 	for i := range p.pool {
-		for _, version := range p.stays(&p.pool[i]) {
+		for _, version := range p.retainedVersions(&p.pool[i]) {
 			p.live[version]++
 		}
 	}
 }
 
-// stays are the versions that a box has live and has not been told to drop.
-func (p *modelPlan) stays(box *member.Record) []table.ModelVersion {
+// retainedVersions are the versions that a box has live and has not been told to drop.
+func (p *modelPlan) retainedVersions(box *member.Record) []table.ModelVersion {
 	before, told := p.in.Previous.Boxes[box.Box]
 	var versions []table.ModelVersion
 	for _, held := range box.Copies {
 		isLive := held.Model == p.model && held.Phase == member.PhaseLive
-		if isLive && (!told || before.carries(held.Model, held.Version)) {
+		if isLive && (!told || before.includes(held.Model, held.Version)) {
 			versions = append(versions, held.Version)
 		}
 	}
@@ -45,88 +45,88 @@
 			target[box] = version
 		}
 	}
-	keeping := p.newKeeping(next)
+	keeping := p.newRetention(next)
 	for i := range p.pool {
 		box := &p.pool[i]
 		assignment := next.Boxes[box.Box]
-		room := max(1, box.Slots) - len(assignment.Weights) - p.reserved(box)
+		room := max(1, box.Slots) - len(assignment.Versions) - p.reservedSlots(box)
 		for _, version := range keeping.fit(box, target[box.Box], room) {
 			if digest, ok := p.manifest(version); ok {
-				assignment.Weights = append(assignment.Weights, Weights{Model: p.model, Version: version, Manifest: digest})
+				assignment.Versions = append(assignment.Versions, PinnedVersion{Model: p.model, Version: version, Manifest: digest})
 			}
 		}
 		next.Boxes[box.Box] = assignment
 	}
 }
 
-// reserved counts the slots of models that are decided later, so that one model's
+// reservedSlots counts the slots of models that are decided later, so that one model's
 // new version never pushes out what another one serves with.
-func (p *modelPlan) reserved(box *member.Record) int {
+func (p *modelPlan) reservedSlots(box *member.Record) int {
 	count := 0
 	before := p.in.Previous.Boxes[box.Box]
 	for _, held := range box.Copies {
-		if held.Model > p.model && p.in.named[held.Model] && before.carries(held.Model, held.Version) {
+		if held.Model > p.model && p.in.models[held.Model] && before.includes(held.Model, held.Version) {
 			count++
 		}
 	}
 	return count
 }
 
-// keeping decides which old versions stay on which boxes.
-type keeping struct {
+// retention decides which old versions stay on which boxes.
+type retention struct {
 	plan *modelPlan
 	// kept counts the boxes that still keep a version, need how many must.
-	kept map[table.ModelVersion]int
-	need map[table.ModelVersion]int
-	// lingers marks versions that were in service until lately.
-	lingers map[table.ModelVersion]bool
+	kept     map[table.ModelVersion]int
+	required map[table.ModelVersion]int
+	// recent marks versions that were in service until lately.
+	recent map[table.ModelVersion]bool
 }
 
-func (p *modelPlan) newKeeping(next *Plan) *keeping {
-	k := &keeping{
-		plan:    p,
-		kept:    make(map[table.ModelVersion]int),
-		need:    make(map[table.ModelVersion]int),
-		lingers: make(map[table.ModelVersion]bool),
+func (p *modelPlan) newRetention(next *Plan) *retention {
+	k := &retention{
+		plan:     p,
+		kept:     make(map[table.ModelVersion]int),
+		required: make(map[table.ModelVersion]int),
+		recent:   make(map[table.ModelVersion]bool),
 	}
 	floors := make(map[table.ModelVersion]float64)
 	for _, row := range p.rows {
 		decided := next.Rows[row.Key()]
 		floors[decided.Serving] += row.Floor
 		if decided.Previous != "" {
-			k.lingers[decided.Previous] = true
+			k.recent[decided.Previous] = true
 		}
 	}
 	for version, floor := range floors {
-		k.need[version] = max(1, int(math.Ceil(floor*float64(len(p.pool)))))
+		k.required[version] = max(1, int(math.Ceil(floor*float64(len(p.pool)))))
 	}
 	for i := range p.pool {
-		for _, version := range k.versions(&p.pool[i]) {
+		for _, version := range k.neededVersions(&p.pool[i]) {
 			k.kept[version]++
 		}
 	}
 	return k
 }
 
-// versions are those that stay on the box and some row is or was answered by.
-func (k *keeping) versions(box *member.Record) []table.ModelVersion {
-	versions := slices.DeleteFunc(k.plan.stays(box), func(version table.ModelVersion) bool {
-		return k.need[version] == 0 && !k.lingers[version]
+// neededVersions are those that stay on the box and some row is or was answered by.
+func (k *retention) neededVersions(box *member.Record) []table.ModelVersion {
+	versions := slices.DeleteFunc(k.plan.retainedVersions(box), func(version table.ModelVersion) bool {
+		return k.required[version] == 0 && !k.recent[version]
 	})
 	slices.Sort(versions)
 	return versions
 }
 
-func (a Assignment) carries(model table.Model, version table.ModelVersion) bool {
-	return slices.ContainsFunc(a.Weights, func(w Weights) bool { return w.Model == model && w.Version == version })
+func (a Assignment) includes(model table.Model, version table.ModelVersion) bool {
+	return slices.ContainsFunc(a.Versions, func(w PinnedVersion) bool { return w.Model == model && w.Version == version })
 }
 
 // fit returns what the box is to carry of the model in the room that it has.
-func (k *keeping) fit(box *member.Record, target table.ModelVersion, room int) []table.ModelVersion {
-	versions := k.versions(box)
+func (k *retention) fit(box *member.Record, target table.ModelVersion, room int) []table.ModelVersion {
+	versions := k.neededVersions(box)
 	if target != "" && !slices.Contains(versions, target) {
 		for len(versions) >= room {
-			spare := k.spare(versions)
+			spare := k.surplusVersion(versions)
 			if spare < 0 {
 				break
 			}
@@ -138,11 +138,11 @@
 	return versions[:max(0, min(room, len(versions)))]
 }
 
-// spare is the version with the most boxes beyond its need; -1 if there is none.
-func (k *keeping) spare(versions []table.ModelVersion) int {
+// surplusVersion is the version with the most boxes beyond its need; -1 if there is none.
+func (k *retention) surplusVersion(versions []table.ModelVersion) int {
 	best, most := -1, 0
 	for i, version := range versions {
-		if surplus := k.kept[version] - k.need[version]; !k.lingers[version] && surplus > most {
+		if surplus := k.kept[version] - k.required[version]; !k.recent[version] && surplus > most {
 			best, most = i, surplus
 		}
 	}
--- a/pkg/plan/shares.go
+++ b/pkg/plan/shares.go
@@ -10,14 +10,14 @@
 	Weight  float64
 	Floor   float64
 	Ceiling float64
-	// Wanted is the share that the group could use now, 0 to 1. A floor is
+	// Requested is the share that the group could use now, 0 to 1. A floor is
 	// granted even where less is wanted, so that a burst finds it ready.
-	Wanted float64
+	Requested float64
 }
 
-// shareSteps halves the interval of the water level often enough that shares
+// bisectionSteps halves the interval of the water level often enough that shares
 // are exact to far below one replica.
-const shareSteps = 80
+const bisectionSteps = 80
 
 // Shares divides a pool by weighted max-min with floors and ceilings. The sum
 // is 1 unless all claims are met with less. Floors that sum to more than 1 are
@@ -28,7 +28,7 @@
 	floors := 0.0
 	for i, demand := range demands {
 		low[i] = demand.Floor
-		high[i] = math.Max(demand.Floor, math.Min(demand.Ceiling, demand.Wanted))
+		high[i] = math.Max(demand.Floor, math.Min(demand.Ceiling, demand.Requested))
 		floors += demand.Floor
 	}
 	if floors > 1 {
@@ -37,12 +37,12 @@
 		}
 		return low
 	}
-	return fill(demands, low, high)
+	return waterFill(demands, low, high)
 }
 
-// fill finds the level at which each claim, level times weight kept within its
+// waterFill finds the level at which each claim, level times weight kept within its
 // bounds, adds up to the whole pool.
-func fill(demands []Demand, low, high []float64) []float64 {
+func waterFill(demands []Demand, low, high []float64) []float64 {
 	at := func(level float64) ([]float64, float64) {
 		shares := make([]float64, len(demands))
 		sum := 0.0
@@ -59,7 +59,7 @@
 	if shares, sum := at(top); sum <= 1 {
 		return shares
 	}
-	for range shareSteps {
+	for range bisectionSteps {
 		middle := (bottom + top) / 2
 		if _, sum := at(middle); sum > 1 {
 			top = middle
--- a/pkg/route/backend.go
+++ b/pkg/route/backend.go
@@ -124,7 +124,7 @@
 		return
 	}
 	for i := range server.Models {
-		if version, whole := server.Models[i].Whole(layers); whole {
+		if version, whole := server.Models[i].CompleteVersion(layers); whole {
 			b.listed = version
 		}
 	}
--- a/pkg/state/repair_test.go
+++ b/pkg/state/repair_test.go
@@ -10,7 +10,7 @@
 
 // Whatever two stores hold, comparing digests and exchanging what differs makes
 // the one hold everything of the other, and ends.
-func TestRepairEndsWithNothingMissing(t *testing.T) {
+func TestRepairTerminatesWithEqualStores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := NewStore(1), NewStore(2)
 		for i := range rapid.IntRange(0, 300).Draw(t, "keys") {
@@ -36,7 +36,7 @@
 }
 
 func BenchmarkRepairOneBucket(b *testing.B) {
-	s := filled(30_000)
+	s := newFilledStore(30_000)
 	other := s.Digests()
 	other[7]++
 	b.ReportAllocs()
--- a/pkg/state/state.go
+++ b/pkg/state/state.go
@@ -223,9 +223,9 @@
 	return s.changed
 }
 
-// Forget drops a key, tombstone and all. It is for keys whose writer is gone for good: a peer
+// Purge drops a key, tombstone and all. It is for keys whose writer is gone for good: a peer
 // that still holds the item brings it back.
-func (s *Store) Forget(key string) {
+func (s *Store) Purge(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held, ok := s.nodes[key]
--- a/pkg/state/state_test.go
+++ b/pkg/state/state_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestOlderVersionIsRefusedOnEveryPath(t *testing.T) {
+func TestApplyRejectsOlderVersions(t *testing.T) {
 	s := NewStore(1)
 	newer := Item{Key: "a", Version: Version{Major: 2}, Value: []byte("new")}
 	require.Len(t, s.Apply([]Item{newer}, OriginLocal), 1)
@@ -19,7 +19,7 @@
 	require.Equal(t, "new", string(held.Value))
 }
 
-func TestTombstoneKeepsAnOldPeerFromBringingAValueBack(t *testing.T) {
+func TestTombstonePreventsOldValueFromReturning(t *testing.T) {
 	s := NewStore(1)
 	s.Apply([]Item{{Key: "a", Version: Version{Major: 1}, Value: []byte("v")}}, OriginLocal)
 	s.Apply([]Item{{Key: "a", Version: Version{Major: 2}, Deleted: true}}, OriginLocal)
@@ -106,9 +106,9 @@
 	return out
 }
 
-// filled returns a store of the size of the users' letter: 12,000 servers and
+// newFilledStore returns a store of the size of the users' letter: 12,000 servers and
 // 2,200 nodes with a record and an assignment each, and 2,000 rows.
-func filled(keys int) *Store {
+func newFilledStore(keys int) *Store {
 	s := NewStore(1)
 	value := make([]byte, 250)
 	items := make([]Item, 0, keys)
@@ -122,7 +122,7 @@
 func BenchmarkApplyOneChange(b *testing.B) {
 	for _, keys := range []int{1_000, 10_000, 30_000} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
-			s := filled(keys)
+			s := newFilledStore(keys)
 			value := make([]byte, 250)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -135,7 +135,7 @@
 func BenchmarkReadOneChange(b *testing.B) {
 	for _, keys := range []int{1_000, 10_000, 30_000} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
-			s := filled(keys)
+			s := newFilledStore(keys)
 			cursor := s.Since(Cursor{}, 0).Next
 			cursor.Sequence--
 			b.ReportAllocs()
@@ -149,7 +149,7 @@
 func BenchmarkReadEverything(b *testing.B) {
 	for _, keys := range []int{1_000, 30_000} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
-			s := filled(keys)
+			s := newFilledStore(keys)
 			b.ReportAllocs()
 			for b.Loop() {
 				s.Since(Cursor{}, 0)
--- a/pkg/table/check.go
+++ b/pkg/table/check.go
@@ -50,9 +50,9 @@
 // floorTolerance absorbs rounding when floors such as 0.1 are summed.
 const floorTolerance = 1e-9
 
-// nameForm is what a group, model or version may be called. It keeps names safe
+// namePattern is what a group, model or version may be called. It keeps names safe
 // in URL paths, keys and CSV.
-var nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
 // Check returns all findings about rows; their order follows the rows.
 func Check(rows []Row) Findings {
@@ -76,7 +76,7 @@
 		findings = append(findings, Finding{Key: row.Key(), Column: column, Message: fmt.Sprintf(format, args...)})
 	}
 	for _, column := range []Column{ColumnGroup, ColumnModel, ColumnVersion} {
-		if text := row.Cell(column); !nameForm.MatchString(text) {
+		if text := row.Cell(column); !namePattern.MatchString(text) {
 			add(column, "want 1 to 63 letters, digits, '.', '_' or '-', starting with a letter or digit, got %q", text)
 		}
 	}
--- a/pkg/table/csv.go
+++ b/pkg/table/csv.go
@@ -19,7 +19,7 @@
 	reader.Comment = '#'
 	header, err := reader.Read()
 	if err != nil {
-		return nil, Findings{{Line: 1, Message: "want the header " + headerLine() + ", got " + readProblem(err)}}
+		return nil, Findings{{Line: 1, Message: "want the header " + headerLine() + ", got " + readErrorMessage(err)}}
 	}
 	if findings := checkHeader(header); len(findings) > 0 {
 		return nil, findings
@@ -34,7 +34,7 @@
 		}
 		line, _ := reader.FieldPos(0)
 		if err != nil {
-			findings = append(findings, Finding{Line: problemLine(err), Message: readProblem(err)})
+			findings = append(findings, Finding{Line: errorLine(err), Message: readErrorMessage(err)})
 			break
 		}
 		row, problems := parseRecord(record, line)
@@ -84,14 +84,14 @@
 	return row, findings
 }
 
-func readProblem(err error) string {
+func readErrorMessage(err error) string {
 	if errors.Is(err, io.EOF) {
 		return "an empty file"
 	}
 	return err.Error()
 }
 
-func problemLine(err error) int {
+func errorLine(err error) int {
 	var problem *csv.ParseError
 	if errors.As(err, &problem) {
 		return problem.Line
--- a/pkg/table/edit.go
+++ b/pkg/table/edit.go
@@ -30,13 +30,13 @@
 type Conflict struct {
 	Key
 	Column Column `json:"column"`
-	// Wanted is the text asked for; Current is what the other edit left.
-	Wanted  string `json:"wanted"`
-	Current string `json:"current"`
+	// Requested is the text asked for; Current is what the other edit left.
+	Requested string `json:"wanted"`
+	Current   string `json:"current"`
 	// Edit is the edit that is refused, Other the one that was accepted.
-	Edit   EditID `json:"edit"`
-	Other  EditID `json:"other_edit"`
-	Author string `json:"other_author"`
+	Edit        EditID `json:"edit"`
+	OtherEdit   EditID `json:"other_edit"`
+	OtherAuthor string `json:"other_author"`
 }
 
 // ConflictError reports every cell in conflict.
@@ -51,7 +51,7 @@
 	parts := make([]string, 0, len(e.Conflicts))
 	for _, c := range e.Conflicts {
 		parts = append(parts, fmt.Sprintf("%s %s: edit %s wants %q, edit %s by %q made it %q",
-			c.Key, c.Column, c.Edit, c.Wanted, c.Other, c.Author, c.Current))
+			c.Key, c.Column, c.Edit, c.Requested, c.OtherEdit, c.OtherAuthor, c.Current))
 	}
 	return fmt.Sprintf("conflict between revision %d and %d: %s", e.Base, e.Current, strings.Join(parts, "; "))
 }
@@ -93,11 +93,11 @@
 }
 
 func (t *Table) record(edit Edit, now time.Time) {
-	t.History = append(t.History, Record{
+	t.History = append(t.History, EditRecord{
 		ID: edit.ID, Revision: t.Revision, Author: edit.Author,
 		Reason: edit.Reason, Time: now.UTC(), Changes: edit.Changes,
 	})
-	if extra := len(t.History) - historyLength; extra > 0 {
+	if extra := len(t.History) - maxHistoryLength; extra > 0 {
 		t.History = t.History[extra:]
 	}
 }
@@ -105,35 +105,35 @@
 func (t *Table) conflicts(edit Edit) []Conflict {
 	var conflicts []Conflict
 	for _, change := range edit.Changes {
-		at := t.entry(change.Key)
+		at := t.entryIndex(change.Key)
 		if at < 0 {
 			continue
 		}
 		entry := t.Entries[at]
-		for _, column := range change.touched(entry) {
-			changed := entry.Cells[column]
+		for _, column := range change.affectedColumns(entry) {
+			changed := entry.CellRevisions[column]
 			if changed <= edit.Base {
 				continue
 			}
 			other := t.recordAt(changed)
 			conflicts = append(conflicts, Conflict{
 				Key: change.Key, Column: column,
-				Wanted: change.Set[column], Current: entry.Cell(column),
-				Edit: edit.ID, Other: other.ID, Author: other.Author,
+				Requested: change.Set[column], Current: entry.Cell(column),
+				Edit: edit.ID, OtherEdit: other.ID, OtherAuthor: other.Author,
 			})
 		}
 	}
 	return conflicts
 }
 
-// touched lists the columns on which the change depends. Removing a row, or
+// affectedColumns lists the columns on which the change depends. Removing a row, or
 // bringing a removed one back, depends on all of them.
-func (c Change) touched(entry Entry) []Column {
+func (c Change) affectedColumns(entry Entry) []Column {
 	if c.Remove || entry.Deleted {
-		return valueColumns
+		return editableColumns
 	}
 	var columns []Column
-	for _, column := range valueColumns {
+	for _, column := range editableColumns {
 		if _, ok := c.Set[column]; ok {
 			columns = append(columns, column)
 		}
@@ -142,7 +142,7 @@
 }
 
 func (t *Table) apply(change Change) Findings {
-	at := t.entry(change.Key)
+	at := t.entryIndex(change.Key)
 	if change.Remove {
 		return t.remove(change, at)
 	}
@@ -155,7 +155,7 @@
 	if made {
 		entry.Row = NewRow(change.Key)
 		entry.Deleted = false
-		entry.Cells = make(map[Column]Revision, len(valueColumns))
+		entry.CellRevisions = make(map[Column]Revision, len(editableColumns))
 	}
 	var findings Findings
 	for column, text := range change.Set {
@@ -163,9 +163,9 @@
 			findings = append(findings, Finding{Key: change.Key, Column: column, Message: message})
 		}
 	}
-	for _, column := range valueColumns {
+	for _, column := range editableColumns {
 		if _, set := change.Set[column]; set || made {
-			entry.Cells[column] = t.Revision
+			entry.CellRevisions[column] = t.Revision
 		}
 	}
 	entry.Revision = t.Revision
@@ -186,8 +186,8 @@
 	entry := &t.Entries[at]
 	entry.Deleted = true
 	entry.Revision = t.Revision
-	for _, column := range valueColumns {
-		entry.Cells[column] = t.Revision
+	for _, column := range editableColumns {
+		entry.CellRevisions[column] = t.Revision
 	}
 	return nil
 }
@@ -217,7 +217,7 @@
 
 func changedCells(was, row Row, existed bool) map[Column]string {
 	set := make(map[Column]string)
-	for _, column := range valueColumns {
+	for _, column := range editableColumns {
 		if !existed || was.Cell(column) != row.Cell(column) {
 			set[column] = row.Cell(column)
 		}
--- a/pkg/table/size_test.go
+++ b/pkg/table/size_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// valueLimit is the largest value that the key-value service holds, in bytes.
-const valueLimit = 1 << 20
+// maxValueSize is the largest value that the key-value service holds, in bytes.
+const maxValueSize = 1 << 20
 
 // A table of 2,000 rows, each edited since, with a full history.
 func TestTableOfTwoThousandRowsFitsOneValue(t *testing.T) {
@@ -19,7 +19,7 @@
 	}
 	held, err := (&Table{}).Apply(Edit{ID: "first", Changes: Diff(nil, rows)}, testTime)
 	require.NoError(t, err)
-	for i := range historyLength + 10 {
+	for i := range maxHistoryLength + 10 {
 		held, err = held.Apply(Edit{ID: EditID(fmt.Sprint("edit-", i)), Author: "aya", Base: held.Revision, Changes: []Change{
 			{Key: rows[i].Key(), Set: map[Column]string{ColumnWeight: "2"}},
 		}}, testTime)
@@ -28,5 +28,5 @@
 	value, err := json.Marshal(held)
 	require.NoError(t, err)
 	t.Logf("%d bytes", len(value))
-	require.Less(t, len(value), valueLimit)
+	require.Less(t, len(value), maxValueSize)
 }
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -56,8 +56,8 @@
 // Columns lists all columns in the order of the CSV form.
 var Columns = []Column{ColumnGroup, ColumnModel, ColumnWeight, ColumnFloor, ColumnCeiling, ColumnVersion}
 
-// valueColumns are those that an edit may change in a row that exists.
-var valueColumns = Columns[2:]
+// editableColumns are those that an edit may change in a row that exists.
+var editableColumns = Columns[2:]
 
 // Key identifies a row.
 type Key struct {
@@ -145,14 +145,14 @@
 	Row
 	// Revision is that of the last edit of the row.
 	Revision Revision `json:"revision"`
-	// Cells gives the last edit of each changeable column.
-	Cells map[Column]Revision `json:"cells"`
+	// CellRevisions gives the last edit of each changeable column.
+	CellRevisions map[Column]Revision `json:"cells"`
 	// Deleted marks a row that was removed.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
-// Record is the history of one accepted edit.
-type Record struct {
+// EditRecord is the history of one accepted edit.
+type EditRecord struct {
 	ID       EditID    `json:"id"`
 	Revision Revision  `json:"revision"`
 	Author   string    `json:"author"`
@@ -161,15 +161,15 @@
 	Changes  []Change  `json:"changes"`
 }
 
-// historyLength bounds the records kept with the table, so that its value
+// maxHistoryLength bounds the records kept with the table, so that its value
 // stays far below the limit of the key-value service.
-const historyLength = 200
+const maxHistoryLength = 200
 
 // Table is the whole table as kept in the key-value service.
 type Table struct {
-	Revision Revision `json:"revision"`
-	Entries  []Entry  `json:"rows"`
-	History  []Record `json:"history"`
+	Revision Revision     `json:"revision"`
+	Entries  []Entry      `json:"rows"`
+	History  []EditRecord `json:"history"`
 }
 
 // Rows returns the rows that exist, ordered by model, then group.
@@ -205,26 +205,26 @@
 }
 
 // Find returns the record of an edit, if it was accepted and is still kept.
-func (t *Table) Find(id EditID) (Record, bool) {
+func (t *Table) Find(id EditID) (EditRecord, bool) {
 	for _, record := range t.History {
 		if record.ID == id {
 			return record, true
 		}
 	}
-	return Record{}, false
+	return EditRecord{}, false
 }
 
 // recordAt returns the record that made a revision, if it is still kept.
-func (t *Table) recordAt(revision Revision) Record {
+func (t *Table) recordAt(revision Revision) EditRecord {
 	for _, record := range t.History {
 		if record.Revision == revision {
 			return record
 		}
 	}
-	return Record{Revision: revision}
+	return EditRecord{Revision: revision}
 }
 
-func (t *Table) entry(key Key) int {
+func (t *Table) entryIndex(key Key) int {
 	return slices.IndexFunc(t.Entries, func(e Entry) bool { return e.Key() == key })
 }
 
@@ -235,7 +235,7 @@
 		History:  slices.Clone(t.History),
 	}
 	for i := range next.Entries {
-		next.Entries[i].Cells = cloneCells(next.Entries[i].Cells)
+		next.Entries[i].CellRevisions = cloneCells(next.Entries[i].CellRevisions)
 	}
 	return next
 }
--- a/pkg/table/table_test.go
+++ b/pkg/table/table_test.go
@@ -16,7 +16,7 @@
 
 var testTime = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-func example(t require.TestingT) *Table {
+func exampleTable(t require.TestingT) *Table {
 	rows := []Row{
 		{Group: "a", Model: "m", Weight: 2, Floor: 0.5, Ceiling: 1, Version: "v1"},
 		{Group: "b", Model: "m", Weight: 1, Floor: 0.25, Ceiling: 0.75, Version: "v1"},
@@ -26,59 +26,59 @@
 	return held
 }
 
-func set(group Group, column Column, text string) []Change {
+func setCell(group Group, column Column, text string) []Change {
 	return []Change{{Key: Key{Group: group, Model: "m"}, Set: map[Column]string{column: text}}}
 }
 
 func TestEditsOfDifferentCellsMerge(t *testing.T) {
-	held := example(t)
-	held, err := held.Apply(Edit{ID: "one", Base: 1, Changes: set("a", ColumnVersion, "v2")}, testTime)
+	held := exampleTable(t)
+	held, err := held.Apply(Edit{ID: "one", Base: 1, Changes: setCell("a", ColumnVersion, "v2")}, testTime)
 	require.NoError(t, err)
-	held, err = held.Apply(Edit{ID: "two", Base: 1, Changes: set("a", ColumnWeight, "9")}, testTime)
+	held, err = held.Apply(Edit{ID: "two", Base: 1, Changes: setCell("a", ColumnWeight, "9")}, testTime)
 	require.NoError(t, err)
 	require.Equal(t, Row{Group: "a", Model: "m", Weight: 9, Floor: 0.5, Ceiling: 1, Version: "v2"}, held.Rows()[0])
 	require.Equal(t, Revision(3), held.Revision)
 }
 
-func TestEditsOfTheSameCellConflictAndBothAreNamed(t *testing.T) {
-	held, err := example(t).Apply(Edit{ID: "one", Author: "aya", Base: 1, Changes: set("a", ColumnVersion, "v2")}, testTime)
+func TestEditsOfTheSameCellConflict(t *testing.T) {
+	held, err := exampleTable(t).Apply(Edit{ID: "one", Author: "aya", Base: 1, Changes: setCell("a", ColumnVersion, "v2")}, testTime)
 	require.NoError(t, err)
-	_, err = held.Apply(Edit{ID: "two", Base: 1, Changes: set("a", ColumnVersion, "v3")}, testTime)
+	_, err = held.Apply(Edit{ID: "two", Base: 1, Changes: setCell("a", ColumnVersion, "v3")}, testTime)
 	var conflict *ConflictError
 	require.ErrorAs(t, err, &conflict)
 	require.Equal(t, []Conflict{{
-		Key: Key{"a", "m"}, Column: ColumnVersion, Wanted: "v3", Current: "v2", Edit: "two", Other: "one", Author: "aya",
+		Key: Key{"a", "m"}, Column: ColumnVersion, Requested: "v3", Current: "v2", Edit: "two", OtherEdit: "one", OtherAuthor: "aya",
 	}}, conflict.Conflicts)
 }
 
 func TestRemovedRowConflictsWithAnEditOfIt(t *testing.T) {
 	remove := []Change{{Key: Key{"b", "m"}, Remove: true}}
-	held, err := example(t).Apply(Edit{ID: "one", Base: 1, Changes: remove}, testTime)
+	held, err := exampleTable(t).Apply(Edit{ID: "one", Base: 1, Changes: remove}, testTime)
 	require.NoError(t, err)
 	require.Len(t, held.Rows(), 1)
-	_, err = held.Apply(Edit{ID: "two", Base: 1, Changes: set("b", ColumnWeight, "2")}, testTime)
+	_, err = held.Apply(Edit{ID: "two", Base: 1, Changes: setCell("b", ColumnWeight, "2")}, testTime)
 	require.ErrorAs(t, err, new(*ConflictError))
-	held, err = held.Apply(Edit{ID: "three", Base: 2, Changes: set("b", ColumnVersion, "v9")}, testTime)
+	held, err = held.Apply(Edit{ID: "three", Base: 2, Changes: setCell("b", ColumnVersion, "v9")}, testTime)
 	require.NoError(t, err, "with the removal seen, the row is made anew")
 	require.Equal(t, Row{Group: "b", Model: "m", Weight: 1, Ceiling: 1, Version: "v9"}, held.Rows()[1])
 }
 
-func TestEditIsMadeOnceHoweverOftenItIsSent(t *testing.T) {
-	edit := Edit{ID: "one", Base: 1, Changes: set("a", ColumnWeight, "5")}
-	held, err := example(t).Apply(edit, testTime)
+func TestApplyIsIdempotent(t *testing.T) {
+	edit := Edit{ID: "one", Base: 1, Changes: setCell("a", ColumnWeight, "5")}
+	held, err := exampleTable(t).Apply(edit, testTime)
 	require.NoError(t, err)
 	again, err := held.Apply(edit, testTime)
 	require.NoError(t, err)
 	require.Same(t, held, again)
 }
 
-func TestRefusedEditLeavesTheTableAlone(t *testing.T) {
-	held := example(t)
+func TestRejectedEditLeavesTableUnchanged(t *testing.T) {
+	held := exampleTable(t)
 	before := held.Rows()
 	for _, edit := range []Edit{
-		{ID: "one", Base: 1, Changes: set("a", ColumnFloor, "0.9")},
-		{ID: "two", Base: 1, Changes: set("a", "nonsense", "1")},
-		{ID: "three", Base: 1, Changes: set("a", ColumnWeight, "many")},
+		{ID: "one", Base: 1, Changes: setCell("a", ColumnFloor, "0.9")},
+		{ID: "two", Base: 1, Changes: setCell("a", "nonsense", "1")},
+		{ID: "three", Base: 1, Changes: setCell("a", ColumnWeight, "many")},
 		{ID: "four", Base: 1, Changes: []Change{{Key: Key{"z", "m"}, Remove: true}}},
 	} {
 		_, err := held.Apply(edit, testTime)
@@ -92,7 +92,7 @@
 }
 
 // Each file holds a table and the findings about it, with their places.
-func TestParseCSVReportsEveryFindingWithItsPlace(t *testing.T) {
+func TestParseCSVReportsEveryFindingWithPosition(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -124,7 +124,7 @@
 // later one is told of a conflict; nothing is lost silently.
 func TestNoEditIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		held := example(t)
+		held := exampleTable(t)
 		type cell struct {
 			group  Group
 			column Column
@@ -135,13 +135,13 @@
 			column := rapid.SampledFrom([]Column{ColumnWeight, ColumnVersion}).Draw(t, "column")
 			text := fmt.Sprint(rapid.IntRange(1, 9).Draw(t, "value"))
 			edit := Edit{
-				ID: EditID(fmt.Sprint(i)), Changes: set(group, column, text),
+				ID: EditID(fmt.Sprint(i)), Changes: setCell(group, column, text),
 				Base: Revision(rapid.Uint64Range(1, uint64(held.Revision)).Draw(t, "base")),
 			}
 			next, err := held.Apply(edit, testTime)
 			var conflict *ConflictError
 			if errors.As(err, &conflict) {
-				changed := held.Entries[held.entry(Key{group, "m"})].Cells[column]
+				changed := held.Entries[held.entryIndex(Key{group, "m"})].CellRevisions[column]
 				require.Greater(t, changed, edit.Base, "a conflict without a later edit")
 				continue
 			}
@@ -150,7 +150,7 @@
 			want[cell{group, column}] = text
 		}
 		for at, text := range want {
-			row := held.Entries[held.entry(Key{at.group, "m"})].Row
+			row := held.Entries[held.entryIndex(Key{at.group, "m"})].Row
 			require.Equal(t, text, row.Cell(at.column))
 		}
 	})
--- a/pkg/weights/manifest.go
+++ b/pkg/weights/manifest.go
@@ -14,7 +14,7 @@
 //
 //	manifest, err := weights.Parse(content, pinned)
 //	picker := weights.NewPicker(manifest, self, options, now)
-//	picker.SetDrawers(drawers)
+//	picker.SetOriginFetchers(drawers)
 //	picker.SetNeighbours(neighbours)
 //	picker.SetHoldings("box-2", bits)
 //	task, ok := picker.Next(now)
@@ -95,14 +95,14 @@
 
 // The errors of this package.
 var (
-	// ErrDigest reports data that does not have the digest it should have.
-	ErrDigest = errors.New("digest does not match")
-	// ErrManifest reports a manifest that disagrees with itself.
-	ErrManifest = errors.New("manifest is not consistent")
-	// ErrFull reports that the store's memory limit is reached.
-	ErrFull = errors.New("store is full")
-	// ErrAbsent reports a chunk that is not held.
-	ErrAbsent = errors.New("chunk is not held")
+	// ErrDigestMismatch reports data that does not have the digest it should have.
+	ErrDigestMismatch = errors.New("digest does not match")
+	// ErrInvalidManifest reports a manifest that disagrees with itself.
+	ErrInvalidManifest = errors.New("manifest is not consistent")
+	// ErrStoreFull reports that the store's memory limit is reached.
+	ErrStoreFull = errors.New("store is full")
+	// ErrChunkNotFound reports a chunk that is not held.
+	ErrChunkNotFound = errors.New("chunk is not held")
 )
 
 // File is one file of a version.
@@ -130,39 +130,39 @@
 	Version string  `json:"version"`
 	Files   []File  `json:"files"`
 	Chunks  []Chunk `json:"chunks"`
-	// Whole is the digest of all content in order; zero where the publisher gives
+	// WholeDigest is the digest of all content in order; zero where the publisher gives
 	// only those of the chunks.
-	Whole Digest `json:"whole"`
+	WholeDigest Digest `json:"whole"`
 	// Hash is how the digests of the chunks were made; empty for BLAKE3.
 	Hash Hash `json:"hash,omitempty"`
 
-	digest  Digest
-	size    int64
-	content []byte
+	digest Digest
+	size   int64
+	raw    []byte
 }
 
 // Digest returns the digest of the manifest's own encoding.
 func (m *Manifest) Digest() Digest { return m.digest }
 
-// Content returns the encoding that Digest covers. It must not be changed.
-func (m *Manifest) Content() []byte { return m.content }
+// Raw returns the encoding that Digest covers. It must not be changed.
+func (m *Manifest) Raw() []byte { return m.raw }
 
 // Size returns the bytes of all content.
 func (m *Manifest) Size() int64 { return m.size }
 
 // Parse reads a manifest and checks it against its pin. The zero pin accepts any
-// manifest that is consistent. Errors wrap ErrDigest or ErrManifest.
+// manifest that is consistent. Errors wrap ErrDigestMismatch or ErrInvalidManifest.
 func Parse(content []byte, pin Digest) (*Manifest, error) {
 	digest := Sum(content)
 	if !pin.IsZero() && digest != pin {
-		return nil, fmt.Errorf("manifest %s, pinned %s: %w", digest.Short(), pin.Short(), ErrDigest)
+		return nil, fmt.Errorf("manifest %s, pinned %s: %w", digest.Short(), pin.Short(), ErrDigestMismatch)
 	}
 	var manifest Manifest
 	if err := json.Unmarshal(content, &manifest); err != nil {
-		return nil, fmt.Errorf("decoding manifest: %w: %w", ErrManifest, err)
+		return nil, fmt.Errorf("decoding manifest: %w: %w", ErrInvalidManifest, err)
 	}
 	manifest.digest = digest
-	manifest.content = content
+	manifest.raw = content
 	if err := manifest.check(); err != nil {
 		return nil, err
 	}
@@ -180,7 +180,7 @@
 		if chunk.File != file || chunk.Offset != offset || chunk.Size <= 0 || file >= len(m.Files) ||
 			chunk.Size > m.Files[file].Size-offset {
 			return fmt.Errorf("chunk %d covers file %d from %d for %d bytes, expected file %d from %d: %w",
-				i, chunk.File, chunk.Offset, chunk.Size, file, offset, ErrManifest)
+				i, chunk.File, chunk.Offset, chunk.Size, file, offset, ErrInvalidManifest)
 		}
 		offset += chunk.Size
 		m.size += chunk.Size
@@ -189,7 +189,7 @@
 		file, offset = file+1, 0
 	}
 	if file != len(m.Files) {
-		return fmt.Errorf("file %d is covered up to byte %d of %d: %w", file, offset, m.Files[file].Size, ErrManifest)
+		return fmt.Errorf("file %d is covered up to byte %d of %d: %w", file, offset, m.Files[file].Size, ErrInvalidManifest)
 	}
 	return nil
 }
@@ -211,7 +211,7 @@
 			return nil, nil, fmt.Errorf("reading %s: %w", source.Path, err)
 		}
 	}
-	whole.Sum(manifest.Whole[:0])
+	whole.Sum(manifest.WholeDigest[:0])
 	content, err := json.Marshal(manifest)
 	if err != nil {
 		return nil, nil, fmt.Errorf("encoding manifest: %w", err)
@@ -246,7 +246,7 @@
 }
 
 // FromDigests returns the manifest of a version that is published as numbered
-// chunks of one size with their digests. Errors wrap ErrManifest.
+// chunks of one size with their digests. Errors wrap ErrInvalidManifest.
 func FromDigests(model, version string, hash Hash, chunkSize int64, digests []Digest) (*Manifest, error) {
 	size := chunkSize * int64(len(digests))
 	manifest := &Manifest{Model: model, Version: version, Hash: hash, Files: []File{{Path: model, Size: size}}}
--- a/pkg/weights/picker.go
+++ b/pkg/weights/picker.go
@@ -9,142 +9,142 @@
 
 // PickerOptions sets how a copy is fetched.
 type PickerOptions struct {
-	// Window is how many fetches run at once from one neighbour.
-	Window int
-	// DrawWindow is how many run at once from the origin.
-	DrawWindow int
-	// DrawPace is how long after the one before it each chunk is drawn by its first
+	// NeighbourWindow is how many fetches run at once from one neighbour.
+	NeighbourWindow int
+	// OriginWindow is how many run at once from the origin.
+	OriginWindow int
+	// OriginInterval is how long after the one before it each chunk is drawn by its first
 	// drawer. If all are drawn at once, they share the origin's link and all come at
 	// the same late moment. 0 draws at once.
-	DrawPace time.Duration
-	// DrawAhead is how many chunks are drawn before their pace, so that the origin's link is
+	OriginInterval time.Duration
+	// OriginBurst is how many chunks are drawn before their pace, so that the origin's link is
 	// not idle while the boxes hear of a version, and begin, one after the other.
-	DrawAhead int
-	// DrawHedge is after how long from the last chunk's turn chunks are drawn by their second
+	OriginBurst int
+	// OriginHedgeDelay is after how long from the last chunk's turn chunks are drawn by their second
 	// drawers too, if the first, whom these ask, do not show them. Before, each would take the
 	// place of a chunk that has not left the origin yet. 0 leaves it at the waits below.
-	DrawHedge time.Duration
-	// Silence is after how long a first drawer that was heard counts as killed or cut off: its
+	OriginHedgeDelay time.Duration
+	// SilenceTimeout is after how long a first drawer that was heard counts as killed or cut off: its
 	// chunks are drawn by the second in its place.
-	Silence time.Duration
+	SilenceTimeout time.Duration
 	// TotalWindow is how many run at once in all; 0 for no such bound. A small one
 	// keeps the box's link free for requests.
 	TotalWindow int
-	// DrawWait is how long each place in the order of drawers waits for the
+	// RankDelay is how long each place in the order of drawers waits for the
 	// one before it, counted from the last chunk that this box got.
-	DrawWait time.Duration
-	// Patience is after how long the waits of DrawWait are counted from the start of
+	RankDelay time.Duration
+	// MaxOriginWait is after how long the waits of RankDelay are counted from the start of
 	// the copy or the last draw that failed, even while other chunks come: a first drawer may be on a link
-	// that has become slow. 0 leaves it at DrawWait.
-	Patience time.Duration
-	// FarPatience is the same for chunks that another box of the region is to bring
+	// that has become slow. 0 leaves it at RankDelay.
+	MaxOriginWait time.Duration
+	// MaxRemoteWait is the same for chunks that another box of the region is to bring
 	// over a long link.
-	FarPatience time.Duration
-	// Strikes is after how many faults a neighbour is no longer asked.
-	Strikes int
+	MaxRemoteWait time.Duration
+	// MaxFailures is after how many faults a neighbour is no longer asked.
+	MaxFailures int
 }
 
 // DefaultPickerOptions suits links of about two copies in the time allowed.
 func DefaultPickerOptions() PickerOptions {
-	return PickerOptions{Window: 2, DrawWindow: 4, DrawWait: 2 * time.Second, Strikes: 3}
+	return PickerOptions{NeighbourWindow: 2, OriginWindow: 4, RankDelay: 2 * time.Second, MaxFailures: 3}
 }
 
-// Task is one fetch. From is empty for the origin.
-type Task struct {
+// FetchTask is one fetch. From is empty for the origin.
+type FetchTask struct {
 	Chunk int
 	From  string
 }
 
-// IsDraw reports whether the task fetches from the origin.
-func (t Task) IsDraw() bool { return t.From == "" }
+// FromOrigin reports whether the task fetches from the origin.
+func (t FetchTask) FromOrigin() bool { return t.From == "" }
 
 type neighbour struct {
-	box     string
-	far     bool
-	held    Bits
-	running int
-	strikes int
-	// heard is when it last answered; zero if it never has.
-	heard time.Time
-	// pace is how long a chunk from there took, in the mean.
-	pace time.Duration
+	box      string
+	remote   bool
+	held     Bits
+	running  int
+	failures int
+	// lastResponse is when it last answered; zero if it never has.
+	lastResponse time.Time
+	// meanFetchTime is how long a chunk from there took, in the mean.
+	meanFetchTime time.Duration
 }
 
 // anyRank is after the last place in any order of drawers.
 const anyRank = math.MaxInt
 
-// paceSmoothing is the weight of the newest chunk in a neighbour's pace.
-const paceSmoothing = 0.3
+// fetchTimeSmoothing is the weight of the newest chunk in a neighbour's pace.
+const fetchTimeSmoothing = 0.3
 
 // Picker decides which chunk to fetch next. It is not safe for concurrent use.
 type Picker struct {
 	manifest *Manifest
 	self     string
 	options  PickerOptions
-	// progress is when the last chunk was got. While chunks keep coming, one
+	// lastProgress is when the last chunk was got. While chunks keep coming, one
 	// that is not shown yet is most likely on its way through other boxes.
-	progress time.Time
-	// drawsFrom is from when the waits for other drawers count: the start of the copy,
+	lastProgress time.Time
+	// waitStart is from when the waits for other drawers count: the start of the copy,
 	// or the last draw of this box that failed. If the origin is away it is so for all,
 	// and when it returns each chunk is again for its first drawer.
-	drawsFrom time.Time
-	// pacedFrom is from when the pace of the draws counts. It stays when a draw fails: counted
+	waitStart time.Time
+	// scheduleStart is from when the pace of the draws counts. It stays when a draw fails: counted
 	// anew, a late chunk waited for its whole place again, and 204 boxes for that one chunk.
-	pacedFrom time.Time
+	scheduleStart time.Time
 
-	held       Bits
-	missing    int
-	running    map[int]time.Time
-	draws      int
-	neighbours map[string]*neighbour
-	// order holds the neighbours by name, so that decisions are repeatable.
-	order    []*neighbour
-	declared []Peer
-	drawers  []Peer
-	ranks    []int
-	// nearRanks orders the boxes of the own region; farDrawers holds the chunks
+	held          Bits
+	missing       int
+	running       map[int]time.Time
+	originFetches int
+	neighbours    map[string]*neighbour
+	// sortedNeighbours holds the neighbours by name, so that decisions are repeatable.
+	sortedNeighbours []*neighbour
+	configuredPeers  []Peer
+	originFetchers   []Peer
+	ranks            []int
+	// regionRanks orders the boxes of the own region; remoteChunks holds the chunks
 	// to be asked of a box of another region.
-	nearRanks  []int
-	farDrawers map[string][]int
-	// firstDrawers holds the chunks of which this box is the second drawer, by the first.
-	firstDrawers map[string][]int
-	// firstOf is the first drawer of each of these chunks.
-	firstOf map[int]string
+	regionRanks  []int
+	remoteChunks map[string][]int
+	// hedgedChunks holds the chunks of which this box is the second drawer, by the first.
+	hedgedChunks map[string][]int
+	// firstFetchers is the first drawer of each of these chunks.
+	firstFetchers map[int]string
 	// scores are this box's own for each chunk.
 	scores    []uint64
 	lastRetry map[int]time.Time
-	// heldBack is until when only chunks are fetched that others wait for.
-	heldBack time.Time
+	// restrictedUntil is until when only chunks are fetched that others wait for.
+	restrictedUntil time.Time
 }
 
 // NewPicker returns a picker for a copy that starts now. Held chunks are not
 // fetched.
 func NewPicker(manifest *Manifest, self string, held Bits, options PickerOptions, now time.Time) *Picker {
 	p := &Picker{
-		manifest: manifest, self: self, options: options, progress: now, drawsFrom: now, pacedFrom: now,
+		manifest: manifest, self: self, options: options, lastProgress: now, waitStart: now, scheduleStart: now,
 		held:       NewBits(len(manifest.Chunks)),
 		missing:    len(manifest.Chunks),
 		running:    make(map[int]time.Time),
 		neighbours: make(map[string]*neighbour),
 		lastRetry:  make(map[int]time.Time),
 	}
-	seed := drawSeed(manifest.Model, manifest.Version, self)
+	seed := rankSeed(manifest.Model, manifest.Version, self)
 	p.scores = make([]uint64, len(manifest.Chunks))
 	for i := range manifest.Chunks {
-		p.scores[i] = drawScore(seed, i)
+		p.scores[i] = rankScore(seed, i)
 		if held.Has(i) {
 			p.held.Set(i)
 			p.missing--
 		}
 	}
-	p.SetDrawers([]Peer{{Box: self}})
+	p.SetOriginFetchers([]Peer{{Box: self}})
 	return p
 }
 
-// HoldBack lets the box fetch only those chunks until a time that it draws from
+// RestrictUntil lets the box fetch only those chunks until a time that it draws from
 // the origin or is the first of its region to bring, so that other boxes have
 // theirs whole earlier.
-func (p *Picker) HoldBack(until time.Time) { p.heldBack = until }
+func (p *Picker) RestrictUntil(until time.Time) { p.restrictedUntil = until }
 
 // SetTotalWindow changes how many fetches run at once in all.
 func (p *Picker) SetTotalWindow(window int) { p.options.TotalWindow = window }
@@ -152,24 +152,24 @@
 // Peer is another box of the rollout.
 type Peer struct {
 	Box string
-	// Far is set for a box of another region.
-	Far bool
+	// Remote is set for a box of another region.
+	Remote bool
 }
 
 // SetNeighbours replaces the boxes that may be asked. What is known of those
 // that stay is kept.
 func (p *Picker) SetNeighbours(peers []Peer) {
-	p.declared = slices.Clone(peers)
-	p.arrange(p.drawers)
+	p.configuredPeers = slices.Clone(peers)
+	p.rebuildNeighbours(p.originFetchers)
 }
 
-// arrange makes the neighbours those that were set, the far drawers, and the first drawers
+// rebuildNeighbours makes the neighbours those that were set, the far drawers, and the first drawers
 // of chunks that this box is the second to draw.
-func (p *Picker) arrange(drawers []Peer) {
-	p.drawers = drawers
+func (p *Picker) rebuildNeighbours(drawers []Peer) {
+	p.originFetchers = drawers
 	before := p.neighbours
-	p.neighbours = make(map[string]*neighbour, len(p.declared)+len(p.farDrawers))
-	p.order = p.order[:0]
+	p.neighbours = make(map[string]*neighbour, len(p.configuredPeers)+len(p.remoteChunks))
+	p.sortedNeighbours = p.sortedNeighbours[:0]
 	add := func(peer Peer) {
 		if peer.Box == p.self || p.neighbours[peer.Box] != nil {
 			return
@@ -178,34 +178,34 @@
 		if n == nil {
 			n = &neighbour{box: peer.Box}
 		}
-		n.far = peer.Far
+		n.remote = peer.Remote
 		p.neighbours[peer.Box] = n
-		p.order = append(p.order, n)
+		p.sortedNeighbours = append(p.sortedNeighbours, n)
 	}
-	for _, peer := range p.declared {
+	for _, peer := range p.configuredPeers {
 		add(peer)
 	}
-	for box := range p.farDrawers {
-		add(Peer{Box: box, Far: true})
+	for box := range p.remoteChunks {
+		add(Peer{Box: box, Remote: true})
 	}
 	for _, drawer := range drawers {
-		if p.firstDrawers[drawer.Box] != nil {
+		if p.hedgedChunks[drawer.Box] != nil {
 			add(drawer)
 		}
 	}
-	slices.SortFunc(p.order, func(a, b *neighbour) int { return strings.Compare(a.box, b.box) })
+	slices.SortFunc(p.sortedNeighbours, func(a, b *neighbour) int { return strings.Compare(a.box, b.box) })
 }
 
-// Ask returns the boxes whose holdings matter now: the neighbours that were set,
+// BoxesToPoll returns the boxes whose holdings matter now: the neighbours that were set,
 // and the far drawers of chunks that are still missing.
-func (p *Picker) Ask() []string {
+func (p *Picker) BoxesToPoll() []string {
 	var boxes []string
-	for _, peer := range p.declared {
+	for _, peer := range p.configuredPeers {
 		if peer.Box != p.self {
 			boxes = append(boxes, peer.Box)
 		}
 	}
-	for _, drawers := range []map[string][]int{p.farDrawers, p.firstDrawers} {
+	for _, drawers := range []map[string][]int{p.remoteChunks, p.hedgedChunks} {
 		for box, chunks := range drawers {
 			missing := slices.ContainsFunc(chunks, func(chunk int) bool { return !p.held.Has(chunk) })
 			if missing && !slices.Contains(boxes, box) {
@@ -229,9 +229,9 @@
 
 // Next returns the next fetch; ok is false if nothing can be started now. The
 // task counts as running until Done or Failed.
-func (p *Picker) Next(now time.Time) (task Task, ok bool) {
+func (p *Picker) Next(now time.Time) (task FetchTask, ok bool) {
 	if p.options.TotalWindow > 0 && len(p.running) >= p.options.TotalWindow {
-		return Task{}, false
+		return FetchTask{}, false
 	}
 	// What this box is the first to draw goes before all else: others wait for it.
 	if task, ok = p.fromOrigin(now, 0); !ok {
@@ -240,11 +240,11 @@
 		}
 	}
 	if !ok {
-		return Task{}, false
+		return FetchTask{}, false
 	}
 	p.running[task.Chunk] = now
-	if task.IsDraw() {
-		p.draws++
+	if task.FromOrigin() {
+		p.originFetches++
 	} else {
 		p.neighbours[task.From].running++
 	}
@@ -254,10 +254,10 @@
 // fromNeighbour takes the chunk that the fewest neighbours hold, from the
 // least busy of them. Ties go by a hash of box and chunk, so that boxes that
 // start together do not all fetch the same chunk.
-func (p *Picker) fromNeighbour(now time.Time) (Task, bool) {
-	best, bestCount, bestTie := Task{Chunk: -1}, 0, uint64(0)
+func (p *Picker) fromNeighbour(now time.Time) (FetchTask, bool) {
+	best, bestCount, bestTie := FetchTask{Chunk: -1}, 0, uint64(0)
 	for chunk := range p.manifest.Chunks {
-		if p.held.Has(chunk) || p.isRunning(chunk) || p.nearRanks[chunk] > 0 && now.Before(p.heldBack) {
+		if p.held.Has(chunk) || p.isRunning(chunk) || p.regionRanks[chunk] > 0 && now.Before(p.restrictedUntil) {
 			continue
 		}
 		from, count := p.holder(chunk, now)
@@ -266,7 +266,7 @@
 		}
 		tie := p.scores[chunk]
 		if best.Chunk < 0 || count < bestCount || count == bestCount && tie > bestTie {
-			best, bestCount, bestTie = Task{Chunk: chunk, From: from}, count, tie
+			best, bestCount, bestTie = FetchTask{Chunk: chunk, From: from}, count, tie
 		}
 	}
 	return best, best.Chunk >= 0
@@ -277,15 +277,15 @@
 // one copy crosses to each region.
 func (p *Picker) holder(chunk int, now time.Time) (string, int) {
 	from, least, count := "", time.Duration(0), 0
-	mayCross := !now.Before(p.due(p.nearRanks[chunk], p.options.FarPatience))
-	for _, n := range p.order {
+	mayCross := !now.Before(p.due(p.regionRanks[chunk], p.options.MaxRemoteWait))
+	for _, n := range p.sortedNeighbours {
 		if !n.held.Has(chunk) {
 			continue
 		}
 		count++
-		usable := n.running < p.options.Window && n.strikes < p.options.Strikes && (mayCross || !n.far)
+		usable := n.running < p.options.NeighbourWindow && n.failures < p.options.MaxFailures && (mayCross || !n.remote)
 		// What runs there already counts by how long chunks from there take.
-		if load := time.Duration(n.running+1) * (n.pace + 1); usable && (from == "" || load < least) {
+		if load := time.Duration(n.running+1) * (n.meanFetchTime + 1); usable && (from == "" || load < least) {
 			from, least = n.box, load
 		}
 	}
@@ -297,10 +297,10 @@
 	return running
 }
 
-// isShown reports whether a usable neighbour holds the chunk, busy or not.
-func (p *Picker) isShown(chunk int) bool {
-	for _, n := range p.order {
-		if n.strikes < p.options.Strikes && n.held.Has(chunk) {
+// isAvailable reports whether a usable neighbour holds the chunk, busy or not.
+func (p *Picker) isAvailable(chunk int) bool {
+	for _, n := range p.sortedNeighbours {
+		if n.failures < p.options.MaxFailures && n.held.Has(chunk) {
 			return true
 		}
 	}
@@ -308,16 +308,16 @@
 }
 
 // Done notes that the chunk was fetched, verified and kept.
-func (p *Picker) Done(task Task, now time.Time) {
+func (p *Picker) Done(task FetchTask, now time.Time) {
 	taken := now.Sub(p.running[task.Chunk])
 	p.finish(task)
-	p.progress = now
+	p.lastProgress = now
 	if n, ok := p.neighbours[task.From]; ok {
-		n.strikes = 0
-		if n.pace == 0 {
-			n.pace = taken
+		n.failures = 0
+		if n.meanFetchTime == 0 {
+			n.meanFetchTime = taken
 		}
-		n.pace += time.Duration(paceSmoothing * float64(taken-n.pace))
+		n.meanFetchTime += time.Duration(fetchTimeSmoothing * float64(taken-n.meanFetchTime))
 	}
 	if !p.held.Has(task.Chunk) {
 		p.held.Set(task.Chunk)
@@ -327,21 +327,21 @@
 
 // Failed notes that the fetch gave nothing. A neighbour gets a strike; a draw is
 // not tried again before retry.
-func (p *Picker) Failed(task Task, retry time.Time) {
+func (p *Picker) Failed(task FetchTask, retry time.Time) {
 	p.finish(task)
-	if task.IsDraw() {
-		p.lastRetry[task.Chunk], p.drawsFrom = retry, retry
+	if task.FromOrigin() {
+		p.lastRetry[task.Chunk], p.waitStart = retry, retry
 		return
 	}
 	if n, ok := p.neighbours[task.From]; ok {
-		n.strikes++
+		n.failures++
 	}
 }
 
-func (p *Picker) finish(task Task) {
+func (p *Picker) finish(task FetchTask) {
 	delete(p.running, task.Chunk)
-	if task.IsDraw() {
-		p.draws--
+	if task.FromOrigin() {
+		p.originFetches--
 	} else if n, ok := p.neighbours[task.From]; ok {
 		n.running--
 	}
--- a/pkg/weights/store.go
+++ b/pkg/weights/store.go
@@ -17,17 +17,17 @@
 	used      int64
 	chunks    map[Digest][]byte
 	manifests map[Digest]*Manifest
-	// users counts the places at which known manifests name a chunk.
-	users map[Digest]int
+	// references counts the places at which known manifests name a chunk.
+	references map[Digest]int
 }
 
 // NewMemoryStore returns a store that holds at most limit bytes of chunks.
 func NewMemoryStore(limit int64) *MemoryStore {
 	return &MemoryStore{
-		limit:     limit,
-		chunks:    make(map[Digest][]byte),
-		manifests: make(map[Digest]*Manifest),
-		users:     make(map[Digest]int),
+		limit:      limit,
+		chunks:     make(map[Digest][]byte),
+		manifests:  make(map[Digest]*Manifest),
+		references: make(map[Digest]int),
 	}
 }
 
@@ -41,15 +41,15 @@
 	}
 	s.manifests[manifest.Digest()] = manifest
 	for _, chunk := range manifest.Chunks {
-		s.users[chunk.Digest]++
+		s.references[chunk.Digest]++
 	}
 }
 
-// Put keeps a chunk if its digest is right. Errors wrap ErrDigest or ErrFull.
+// Put keeps a chunk if its digest is right. Errors wrap ErrDigestMismatch or ErrStoreFull.
 func (s *MemoryStore) Put(manifest *Manifest, index int, data []byte) error {
 	want := manifest.Chunks[index]
 	if int64(len(data)) != want.Size || manifest.Hash.Sum(data) != want.Digest {
-		return fmt.Errorf("chunk %d of %s: %w", index, manifest.Digest().Short(), ErrDigest)
+		return fmt.Errorf("chunk %d of %s: %w", index, manifest.Digest().Short(), ErrDigestMismatch)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +57,7 @@
 		return nil
 	}
 	if s.used+want.Size > s.limit {
-		return fmt.Errorf("%d of %d bytes used: %w", s.used, s.limit, ErrFull)
+		return fmt.Errorf("%d of %d bytes used: %w", s.used, s.limit, ErrStoreFull)
 	}
 	s.chunks[want.Digest] = data
 	s.used += want.Size
@@ -70,11 +70,11 @@
 	defer s.mu.RUnlock()
 	known, ok := s.manifests[manifest]
 	if !ok || index < 0 || index >= len(known.Chunks) {
-		return nil, fmt.Errorf("chunk %d of %s: %w", index, manifest.Short(), ErrAbsent)
+		return nil, fmt.Errorf("chunk %d of %s: %w", index, manifest.Short(), ErrChunkNotFound)
 	}
 	held, ok := s.chunks[known.Chunks[index].Digest]
 	if !ok {
-		return nil, fmt.Errorf("chunk %d of %s: %w", index, manifest.Short(), ErrAbsent)
+		return nil, fmt.Errorf("chunk %d of %s: %w", index, manifest.Short(), ErrChunkNotFound)
 	}
 	return held, nil
 }
@@ -104,7 +104,7 @@
 	return manifest, ok
 }
 
-// Verify checks the digest of the whole. Errors wrap ErrAbsent or ErrDigest.
+// Verify checks the digest of the whole. Errors wrap ErrAbsent or ErrDigestMismatch.
 func (s *MemoryStore) Verify(manifest *Manifest) error {
 	whole := blake3.New()
 	for i := range manifest.Chunks {
@@ -116,8 +116,8 @@
 	}
 	var sum Digest
 	whole.Sum(sum[:0])
-	if sum != manifest.Whole {
-		return fmt.Errorf("whole of %s: %w", manifest.Digest().Short(), ErrDigest)
+	if sum != manifest.WholeDigest {
+		return fmt.Errorf("whole of %s: %w", manifest.Digest().Short(), ErrDigestMismatch)
 	}
 	return nil
 }
@@ -132,11 +132,11 @@
 	}
 	delete(s.manifests, digest)
 	for _, chunk := range manifest.Chunks {
-		s.users[chunk.Digest]--
-		if s.users[chunk.Digest] > 0 {
+		s.references[chunk.Digest]--
+		if s.references[chunk.Digest] > 0 {
 			continue
 		}
-		delete(s.users, chunk.Digest)
+		delete(s.references, chunk.Digest)
 		if _, held := s.chunks[chunk.Digest]; held {
 			delete(s.chunks, chunk.Digest)
 			s.used -= chunk.Size
