--- a/pkg/weights/weights_test.go
+++ b/pkg/weights/weights_test.go
@@ -13,22 +13,22 @@
 	"pgregory.net/rapid"
 )
 
-func random(seed byte, size int) []byte {
+func randomBytes(seed byte, size int) []byte {
 	data := make([]byte, size)
 	_, _ = rand.NewChaCha8([32]byte{seed}).Read(data)
 	return data
 }
 
-func source(name string, data []byte) Source {
+func newSource(name string, data []byte) Source {
 	return Source{Path: name, Blob: "sha256:" + name, Open: func() (io.ReadCloser, error) {
 		return io.NopCloser(bytes.NewReader(data)), nil
 	}}
 }
 
-func build(t require.TestingT, chunkSize int64, contents ...[]byte) *Manifest {
+func buildManifest(t require.TestingT, chunkSize int64, contents ...[]byte) *Manifest {
 	var sources []Source
 	for i, data := range contents {
-		sources = append(sources, source(fmt.Sprint("f", i), data))
+		sources = append(sources, newSource(fmt.Sprint("f", i), data))
 	}
 	manifest, _, err := Build("m", "v", sources, chunkSize)
 	require.NoError(t, err)
@@ -41,17 +41,17 @@
 }
 
 func TestManifestCoversFilesOfAnySizeInOrder(t *testing.T) {
-	contents := [][]byte{random(1, 1000), {}, random(2, 512), random(3, 1)}
-	m := build(t, 512, contents...)
+	contents := [][]byte{randomBytes(1, 1000), {}, randomBytes(2, 512), randomBytes(3, 1)}
+	m := buildManifest(t, 512, contents...)
 	require.Equal(t, int64(1513), m.Size())
 	require.Len(t, m.Chunks, 4)
-	again, err := Parse(m.Content(), m.Digest())
+	again, err := Parse(m.Raw(), m.Digest())
 	require.NoError(t, err)
 	require.Equal(t, m, again)
 }
 
-func TestManifestThatDisagreesWithItselfIsRefused(t *testing.T) {
-	good := build(t, 512, random(1, 1000))
+func TestParseRejectsInconsistentManifest(t *testing.T) {
+	good := buildManifest(t, 512, randomBytes(1, 1000))
 	cases := map[string]func(*Manifest){
 		"gap":            func(m *Manifest) { m.Chunks[1].Offset++ },
 		"overlap":        func(m *Manifest) { m.Chunks[1].Offset-- },
@@ -63,42 +63,42 @@
 	}
 	for name, breakIt := range cases {
 		t.Run(name, func(t *testing.T) {
-			broken, err := Parse(good.Content(), Digest{})
+			broken, err := Parse(good.Raw(), Digest{})
 			require.NoError(t, err)
 			breakIt(broken)
 			content, err := json.Marshal(broken)
 			require.NoError(t, err)
 			_, err = Parse(content, Digest{})
-			require.ErrorIs(t, err, ErrManifest)
+			require.ErrorIs(t, err, ErrInvalidManifest)
 		})
 	}
-	_, err := Parse(good.Content(), Sum([]byte("another")))
-	require.ErrorIs(t, err, ErrDigest)
+	_, err := Parse(good.Raw(), Sum([]byte("another")))
+	require.ErrorIs(t, err, ErrDigestMismatch)
 	_, err = Parse([]byte("{"), Digest{})
-	require.ErrorIs(t, err, ErrManifest)
+	require.ErrorIs(t, err, ErrInvalidManifest)
 }
 
 func TestStoreKeepsOnlyVerifiedChunksUnderItsLimit(t *testing.T) {
-	data := random(1, 1024)
-	m := build(t, 512, data)
+	data := randomBytes(1, 1024)
+	m := buildManifest(t, 512, data)
 	s := NewMemoryStore(512)
 	s.Add(m)
 	wrong := bytes.Clone(data[:512])
 	wrong[3] ^= 1
-	require.ErrorIs(t, s.Put(m, 0, wrong), ErrDigest)
-	require.ErrorIs(t, s.Put(m, 0, data[:511]), ErrDigest)
-	require.ErrorIs(t, s.Verify(m), ErrAbsent)
+	require.ErrorIs(t, s.Put(m, 0, wrong), ErrDigestMismatch)
+	require.ErrorIs(t, s.Put(m, 0, data[:511]), ErrDigestMismatch)
+	require.ErrorIs(t, s.Verify(m), ErrChunkNotFound)
 	require.NoError(t, s.Put(m, 0, data[:512]))
 	require.NoError(t, s.Put(m, 0, data[:512]), "a chunk that is held takes no more room")
-	require.ErrorIs(t, s.Put(m, 1, data[512:]), ErrFull)
+	require.ErrorIs(t, s.Put(m, 1, data[512:]), ErrStoreFull)
 	require.Equal(t, int64(512), s.Used())
 	_, err := s.Get(m.Digest(), 9)
-	require.ErrorIs(t, err, ErrAbsent)
+	require.ErrorIs(t, err, ErrChunkNotFound)
 }
 
 func TestVersionsShareChunksUntilTheLastIsDropped(t *testing.T) {
-	common, first, second := random(1, 1024), random(2, 512), random(3, 512)
-	one, two := build(t, 512, common, first), build(t, 512, common, second)
+	common, first, second := randomBytes(1, 1024), randomBytes(2, 512), randomBytes(3, 512)
+	one, two := buildManifest(t, 512, common, first), buildManifest(t, 512, common, second)
 	s := NewMemoryStore(1 << 20)
 	s.Add(one)
 	for i := range one.Chunks {
@@ -117,27 +117,27 @@
 // swarm is boxes whose pickers exchange chunks without links or time of their
 // own: each turn, every box starts one fetch and ends it.
 type swarm struct {
-	manifest *Manifest
-	pickers  []*Picker
-	down     []bool
-	draws    int
-	now      time.Time
+	manifest      *Manifest
+	pickers       []*Picker
+	down          []bool
+	originFetches int
+	now           time.Time
 }
 
-func name(i int) string { return fmt.Sprintf("box-%04d", i) }
+func boxName(i int) string { return fmt.Sprintf("box-%04d", i) }
 
 func newSwarm(m *Manifest, boxes, neighbours int, options PickerOptions) *swarm {
 	s := &swarm{manifest: m, now: time.Unix(1_000_000, 0), down: make([]bool, boxes)}
 	var all []Peer
 	for i := range boxes {
-		all = append(all, Peer{Box: name(i)})
+		all = append(all, Peer{Box: boxName(i)})
 	}
 	for i := range boxes {
-		p := NewPicker(m, name(i), nil, options, s.now)
-		p.SetDrawers(all)
+		p := NewPicker(m, boxName(i), nil, options, s.now)
+		p.SetOriginFetchers(all)
 		var near []Peer
 		for n := range neighbours {
-			near = append(near, Peer{Box: name((i + 1 + n*n) % boxes)})
+			near = append(near, Peer{Box: boxName((i + 1 + n*n) % boxes)})
 		}
 		p.SetNeighbours(near)
 		s.pickers = append(s.pickers, p)
@@ -145,17 +145,17 @@
 	return s
 }
 
-// turn lets every box that is up do one fetch; fault decides whether it fails.
-func (s *swarm) turn(fault func(box int, task Task) bool) (missing int) {
+// round lets every box that is up do one fetch; fault decides whether it fails.
+func (s *swarm) round(fault func(box int, task FetchTask) bool) (missing int) {
 	for i, p := range s.pickers {
 		if s.down[i] {
 			continue
 		}
 		for j := range s.pickers {
 			if s.down[j] {
-				p.SetHoldings(name(j), nil)
+				p.SetHoldings(boxName(j), nil)
 			} else {
-				p.SetHoldings(name(j), s.pickers[j].held)
+				p.SetHoldings(boxName(j), s.pickers[j].held)
 			}
 		}
 		task, ok := p.Next(s.now)
@@ -164,8 +164,8 @@
 		case fault(i, task):
 			p.Failed(task, s.now.Add(time.Second))
 		default:
-			if task.IsDraw() {
-				s.draws++
+			if task.FromOrigin() {
+				s.originFetches++
 			}
 			p.Done(task, s.now)
 		}
@@ -175,63 +175,63 @@
 	return missing
 }
 
-func noFault(int, Task) bool { return false }
+func noFault(int, FetchTask) bool { return false }
 
-func TestOriginGivesOneCopyToManyBoxes(t *testing.T) {
-	m := build(t, 64, random(1, 64*100))
+func TestOriginSendsEachChunkOnce(t *testing.T) {
+	m := buildManifest(t, 64, randomBytes(1, 64*100))
 	s := newSwarm(m, 40, 6, DefaultPickerOptions())
-	for s.turn(noFault) > 0 {
+	for s.round(noFault) > 0 {
 		require.Less(t, s.now.Unix(), int64(1_000_600), "the copy does not end")
 	}
-	require.Equal(t, len(m.Chunks), s.draws)
+	require.Equal(t, len(m.Chunks), s.originFetches)
 }
 
-func TestDeadDrawersAreReplacedAfterTheirWait(t *testing.T) {
-	m := build(t, 64, random(1, 64*50))
+func TestDeadFetchersAreReplaced(t *testing.T) {
+	m := buildManifest(t, 64, randomBytes(1, 64*50))
 	s := newSwarm(m, 10, 4, DefaultPickerOptions())
 	for i := range 5 {
 		s.down[2*i] = true
 	}
-	for s.turn(noFault) > 0 {
+	for s.round(noFault) > 0 {
 		require.Less(t, s.now.Unix(), int64(1_000_600), "the copy does not end")
 	}
-	require.LessOrEqual(t, s.draws, 2*len(m.Chunks))
+	require.LessOrEqual(t, s.originFetches, 2*len(m.Chunks))
 }
 
-func TestNeighbourThatKeepsGivingBadChunksIsLeftOut(t *testing.T) {
-	m := build(t, 64, random(1, 64*50))
+func TestFailingNeighbourIsExcluded(t *testing.T) {
+	m := buildManifest(t, 64, randomBytes(1, 64*50))
 	s := newSwarm(m, 6, 4, DefaultPickerOptions())
 	asked := 0
-	bad := func(_ int, task Task) bool {
-		if task.From == name(1) {
+	bad := func(_ int, task FetchTask) bool {
+		if task.From == boxName(1) {
 			asked++
 		}
-		return task.From == name(1)
+		return task.From == boxName(1)
 	}
-	for s.turn(bad) > 0 {
+	for s.round(bad) > 0 {
 		require.Less(t, s.now.Unix(), int64(1_000_600), "the copy does not end")
 	}
-	require.LessOrEqual(t, asked, 5*DefaultPickerOptions().Strikes)
+	require.LessOrEqual(t, asked, 5*DefaultPickerOptions().MaxFailures)
 }
 
 // Whatever fails and whoever goes away, a copy ends once one good source is
 // reachable, no chunk is fetched twice at once, and no window is exceeded.
-func TestCopyAlwaysEndsOnceTheOriginAnswers(t *testing.T) {
+func TestDownloadCompletesOnceOriginResponds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := build(t, 64, random(1, 64*rapid.IntRange(1, 12).Draw(t, "chunks")))
+		m := buildManifest(t, 64, randomBytes(1, 64*rapid.IntRange(1, 12).Draw(t, "chunks")))
 		s := newSwarm(m, rapid.IntRange(1, 6).Draw(t, "boxes"), 3, DefaultPickerOptions())
 		faulty := rapid.SliceOfN(rapid.Bool(), 16, 16).Draw(t, "faults")
 		count := 0
-		fault := func(_ int, task Task) bool {
+		fault := func(_ int, task FetchTask) bool {
 			count++
 			return faulty[(count+task.Chunk)%len(faulty)]
 		}
 		for range rapid.IntRange(0, 40).Draw(t, "turns") {
 			at := rapid.IntRange(0, len(s.down)-1).Draw(t, "box")
 			s.down[at] = rapid.Bool().Draw(t, "down") && at != 0
-			s.turn(fault)
+			s.round(fault)
 		}
-		for turns := 0; s.turn(noFault) > 0; turns++ {
+		for turns := 0; s.round(noFault) > 0; turns++ {
 			if turns > 5000 {
 				t.Fatalf("the copy does not end")
 			}
@@ -242,14 +242,14 @@
 func BenchmarkPickerNext(b *testing.B) {
 	for _, chunks := range []int{100, 1_000, 3_500} {
 		b.Run(fmt.Sprintf("chunks=%d", chunks), func(b *testing.B) {
-			m := build(b, 16, random(1, 16*chunks))
+			m := buildManifest(b, 16, randomBytes(1, 16*chunks))
 			p := NewPicker(m, "box-0000", nil, DefaultPickerOptions(), time.Unix(0, 0))
 			p.SetNeighbours([]Peer{{Box: "a"}, {Box: "b"}, {Box: "c"}, {Box: "d"}, {Box: "e"}, {Box: "f"}, {Box: "g"}, {Box: "h"}})
 			all := NewBits(chunks)
 			for i := range chunks {
 				all.Set(i)
 			}
-			for _, n := range p.order {
+			for _, n := range p.sortedNeighbours {
 				p.SetHoldings(n.box, all)
 			}
 			b.ReportAllocs()
@@ -264,24 +264,24 @@
 	}
 }
 
-func BenchmarkSetDrawers(b *testing.B) {
+func BenchmarkSetOriginFetchers(b *testing.B) {
 	for _, boxes := range []int{100, 1_400} {
 		b.Run(fmt.Sprintf("boxes=%d", boxes), func(b *testing.B) {
-			m := build(b, 16, random(1, 16*3_500))
+			m := buildManifest(b, 16, randomBytes(1, 16*3_500))
 			p := NewPicker(m, "box-0000", nil, DefaultPickerOptions(), time.Unix(0, 0))
 			var drawers []Peer
 			for i := range boxes {
-				drawers = append(drawers, Peer{Box: name(i), Far: i%6 != 0})
+				drawers = append(drawers, Peer{Box: boxName(i), Remote: i%6 != 0})
 			}
 			for b.Loop() {
-				p.SetDrawers(drawers)
+				p.SetOriginFetchers(drawers)
 			}
 		})
 	}
 }
 
 func BenchmarkVerifyChunk(b *testing.B) {
-	data := random(1, 4<<20)
+	data := randomBytes(1, 4<<20)
 	b.SetBytes(int64(len(data)))
 	for b.Loop() {
 		Sum(data)
@@ -290,36 +290,36 @@
 
 // All chunks drawn at once share the origin's link, and the first one comes when the
 // last one does.
-func TestChunksAreDrawnAtThePaceOfTheOriginsLink(t *testing.T) {
-	m := build(t, 64, random(1, 512))
+func TestOriginFetchesArePaced(t *testing.T) {
+	m := buildManifest(t, 64, randomBytes(1, 512))
 	options := DefaultPickerOptions()
-	options.DrawWindow, options.DrawPace = 8, 100*time.Millisecond
+	options.OriginWindow, options.OriginInterval = 8, 100*time.Millisecond
 	now := time.Unix(0, 0)
 	p := NewPicker(m, "box-0000", nil, options, now)
 	for chunk := range m.Chunks {
 		task, ok := p.Next(now)
 		require.True(t, ok)
-		require.Equal(t, Task{Chunk: chunk}, task)
+		require.Equal(t, FetchTask{Chunk: chunk}, task)
 		_, ok = p.Next(now)
 		require.False(t, ok, "chunk %d comes only after its pace", chunk+1)
-		now = now.Add(options.DrawPace)
+		now = now.Add(options.OriginInterval)
 	}
 }
 
 // A connection that the origin resets costs one chunk of one box a retry, and not again the
 // time that all chunks before it take over the origin's link.
-func TestADrawThatFailedIsTriedAgainAtOnceInItsTurn(t *testing.T) {
-	m := build(t, 64, random(1, 4096))
+func TestFailedOriginFetchIsRetriedWithoutRescheduling(t *testing.T) {
+	m := buildManifest(t, 64, randomBytes(1, 4096))
 	options := DefaultPickerOptions()
-	options.DrawWindow, options.DrawPace = 1, 100*time.Millisecond
+	options.OriginWindow, options.OriginInterval = 1, 100*time.Millisecond
 	const retry = 300 * time.Millisecond
 	now := time.Unix(0, 0)
 	p := NewPicker(m, "box-0000", nil, options, now)
 	last := len(m.Chunks) - 1
 	for chunk := range last {
-		p.Done(Task{Chunk: chunk}, now)
+		p.Done(FetchTask{Chunk: chunk}, now)
 	}
-	now = now.Add(time.Duration(last) * options.DrawPace)
+	now = now.Add(time.Duration(last) * options.OriginInterval)
 	task, ok := p.Next(now)
 	require.True(t, ok)
 	p.Failed(task, now.Add(retry))
@@ -329,20 +329,20 @@
 
 // While an origin was away every box tried every chunk, and when it returned they all
 // drew everything at once: 3 copies, and 3.4 s until the first was whole.
-func TestAnOriginThatReturnsGivesEachChunkToItsFirstDrawer(t *testing.T) {
-	m := build(t, 64, random(1, 4096))
+func TestRecoveredOriginSendsEachChunkToItsFirstFetcher(t *testing.T) {
+	m := buildManifest(t, 64, randomBytes(1, 4096))
 	options := DefaultPickerOptions()
-	options.DrawWait, options.Patience, options.DrawWindow = 500*time.Millisecond, 1200*time.Millisecond, 2
+	options.RankDelay, options.MaxOriginWait, options.OriginWindow = 500*time.Millisecond, 1200*time.Millisecond, 2
 	const boxes, retry, step = 20, 300 * time.Millisecond, 50 * time.Millisecond
 	var all []Peer
 	for i := range boxes {
-		all = append(all, Peer{Box: name(i)})
+		all = append(all, Peer{Box: boxName(i)})
 	}
 	now := time.Unix(0, 0)
 	var pickers []*Picker
 	for i := range boxes {
-		p := NewPicker(m, name(i), nil, options, now)
-		p.SetDrawers(all)
+		p := NewPicker(m, boxName(i), nil, options, now)
+		p.SetOriginFetchers(all)
 		pickers = append(pickers, p)
 	}
 	tried := 0
