--- a/cmd/cinderslipd/direct.go
+++ b/cmd/cinderslipd/direct.go
@@ -31,7 +31,7 @@
 
 // runDirect runs one role in direct mode until a signal, and reads its settings again at each of reload.
 func runDirect(path string, loaded *settings.Settings, stdout io.Writer, reload <-chan os.Signal) int {
-	debug.SetMemoryLimit(int64(heapPart * bytesPerMegabyte * loaded.Direct.MemoryMegabytes))
+	debug.SetMemoryLimit(int64(heapPart * bytesPerMegabyte * loaded.Direct.MemoryLimitMegabytes))
 	clock := boottime.NewClock()
 	queue := daemon.NewLogQueue(stdout, clock)
 	defer closeLog(queue)
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -25,8 +25,8 @@
 	// checkInterval is how often at most is asked whether the machine was suspended: the time is asked for many times for
 	// each request, and each question is a system call.
 	checkInterval = 50 * time.Millisecond
-	// suspendedLeast is the shortest time that counts: two clocks are not read at the same moment.
-	suspendedLeast = 10 * time.Millisecond
+	// minSuspension is the shortest time that counts: two clocks are not read at the same moment.
+	minSuspension = 10 * time.Millisecond
 )
 
 // Clock is a clockwork.Clock that counts the time for which the machine was suspended. It is safe for concurrent use.
@@ -36,13 +36,13 @@
 	// now is the time of package time, boot the time since the machine started.
 	now  func() time.Time
 	boot func() (time.Duration, error)
-	// began is when the clock was made, and bootBegan what boot said then.
-	began     time.Time
-	bootBegan time.Duration
+	// start is when the clock was made, and bootAtStart what boot said then.
+	start       time.Time
+	bootAtStart time.Duration
 
 	mu sync.Mutex
-	// checked is when boot was last asked, by now.
-	checked time.Time
+	// lastCheck is when boot was last asked, by now.
+	lastCheck time.Time
 	// suspended is for how long the machine was suspended since the clock was made.
 	suspended time.Duration
 }
@@ -51,14 +51,14 @@
 func NewClock() *Clock { return newClock(time.Now, bootTime) }
 
 func newClock(now func() time.Time, boot func() (time.Duration, error)) *Clock {
-	c := &Clock{Clock: clockwork.NewRealClock(), now: now, boot: boot, began: now()}
-	c.checked = c.began
+	c := &Clock{Clock: clockwork.NewRealClock(), now: now, boot: boot, start: now()}
+	c.lastCheck = c.start
 	began, err := boot()
 	if err != nil {
 		// The machine has no such clock: the steady one is the best there is.
 		c.boot = nil
 	}
-	c.bootBegan = began
+	c.bootAtStart = began
 	return c
 }
 
@@ -79,7 +79,7 @@
 		return now
 	}
 	// The time of day has counted the suspension already, so it can't be added to it once more.
-	return c.began.Add(now.Sub(c.began) + suspended)
+	return c.start.Add(now.Sub(c.start) + suspended)
 }
 
 // Since returns for how long a time of this clock is past.
@@ -92,16 +92,16 @@
 func (c *Clock) suspendedFor(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.boot == nil || now.Sub(c.checked) < checkInterval {
+	if c.boot == nil || now.Sub(c.lastCheck) < checkInterval {
 		return c.suspended
 	}
-	c.checked = now
+	c.lastCheck = now
 	boot, err := c.boot()
 	if err != nil {
 		return c.suspended
 	}
 	// The steady clock is read again, as the process may have waited for its turn since now.
-	if ahead := boot - c.bootBegan - c.now().Sub(c.began); ahead >= c.suspended+suspendedLeast {
+	if ahead := boot - c.bootAtStart - c.now().Sub(c.start); ahead >= c.suspended+minSuspension {
 		c.suspended = ahead
 	}
 	return c.suspended
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -8,77 +8,77 @@
 	"github.com/stretchr/testify/require"
 )
 
-// machine is one that may be suspended: the steady clock stands then.
-type machine struct {
-	steady    time.Duration
+// fakeMachine is one that may be suspended: the steady clock stands then.
+type fakeMachine struct {
+	monotonic time.Duration
 	suspended time.Duration
-	began     time.Time
-	asked     int
+	start     time.Time
+	bootCalls int
 	broken    bool
 }
 
-func (m *machine) now() time.Time { return m.began.Add(m.steady) }
+func (m *fakeMachine) now() time.Time { return m.start.Add(m.monotonic) }
 
-func (m *machine) boot() (time.Duration, error) {
-	m.asked++
+func (m *fakeMachine) boot() (time.Duration, error) {
+	m.bootCalls++
 	if m.broken {
 		return 0, errors.New("no such clock")
 	}
-	return time.Hour + m.steady + m.suspended, nil
+	return time.Hour + m.monotonic + m.suspended, nil
 }
 
-func newMachine() *machine { return &machine{began: time.Now()} }
+func newFakeMachine() *fakeMachine { return &fakeMachine{start: time.Now()} }
 
-func TestTheTimeOfASuspensionCounts(t *testing.T) {
-	m := newMachine()
+func TestClockIncludesSuspension(t *testing.T) {
+	m := newFakeMachine()
 	c := newClock(m.now, m.boot)
 	heard := c.Now()
-	m.steady += time.Second
+	m.monotonic += time.Second
 	require.Equal(t, time.Second, c.Since(heard))
 	m.suspended += 4 * time.Second
-	m.steady += checkInterval
+	m.monotonic += checkInterval
 	require.Equal(t, 5*time.Second+checkInterval, c.Since(heard))
 	require.Equal(t, -5*time.Second-checkInterval, c.Until(heard))
 	m.suspended += 3 * time.Second
-	m.steady += checkInterval
+	m.monotonic += checkInterval
 	require.Equal(t, 8*time.Second+2*checkInterval, c.Since(heard), "a second one counts too")
-	m.steady += time.Second
+	m.monotonic += time.Second
 	require.Equal(t, 9*time.Second+2*checkInterval, c.Since(heard), "no more than once")
 }
 
-func TestTheTimeOfDayCountsASuspensionOnce(t *testing.T) {
-	m := newMachine()
+func TestWallClockIncludesSuspensionOnce(t *testing.T) {
+	m := newFakeMachine()
 	c := newClock(m.now, m.boot)
-	m.suspended, m.steady = 4*time.Second, time.Second
-	require.Equal(t, m.began.Add(5*time.Second).UnixMilli(), c.Now().UnixMilli())
+	m.suspended, m.monotonic = 4*time.Second, time.Second
+	require.Equal(t, m.start.Add(5*time.Second).UnixMilli(), c.Now().UnixMilli())
 }
 
-func TestAMachineThatWasNotSuspendedHasTheTimeOfItsSteadyClock(t *testing.T) {
-	m := newMachine()
+func TestClockEqualsMonotonicClockWithoutSuspension(t *testing.T) {
+	m := newFakeMachine()
 	c := newClock(m.now, m.boot)
 	for range 1000 {
-		m.steady += time.Millisecond
+		m.monotonic += time.Millisecond
 		require.Equal(t, m.now(), c.Now())
 	}
-	require.LessOrEqual(t, m.asked, 1+int(time.Second/checkInterval), "asking is a system call")
+	require.LessOrEqual(t, m.bootCalls, 1+int(time.Second/checkInterval), "asking is a system call")
 }
 
-func TestTwoClocksThatAreNotReadAtOnceAreNoSuspension(t *testing.T) {
-	m := newMachine()
+func TestClockSkewBelowMinimumIsNotSuspension(t *testing.T) {
+	m := newFakeMachine()
 	c := newClock(m.now, m.boot)
-	m.steady, m.suspended = time.Second, suspendedLeast/2
+	m.monotonic, m.suspended = time.Second, minSuspension/2
 	require.Equal(t, m.now(), c.Now())
 }
 
-func TestAMachineWithoutThatClockHasTheSteadyOne(t *testing.T) {
-	m := newMachine()
+func TestClockFallsBackToMonotonicClock(t *testing.T) {
+	m := newFakeMachine()
 	m.broken = true
 	c := newClock(m.now, m.boot)
-	m.steady += time.Second
+	m.monotonic += time.Second
 	require.Equal(t, m.now(), c.Now())
 }
 
-func TestTheClockOfThisMachineGoesOn(t *testing.T) {
+func TestSystemClockAdvances(t *testing.T) {
 	c := NewClock()
 	before := c.Now()
 	c.Sleep(time.Millisecond)
--- a/internal/daemon/admit.go
+++ b/internal/daemon/admit.go
@@ -69,7 +69,7 @@
 		replicas += c.view.Router().Count(route.ServiceVersion{Service: service, Version: version})
 	}
 	entries := max(1, len(c.view.Entries(c.region)))
-	return (replicas*c.options.PlacesPerReplica + entries - 1) / entries
+	return (replicas*c.options.SlotsPerReplica + entries - 1) / entries
 }
 
 // admission returns the queue of a service. One that is asked for the first time
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -437,7 +437,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
 	options := CallersOptions{Listen: listening(listener), Ready: always, Opened: func() {}, View: view, Peers: peers, Clock: clockwork.NewRealClock(), Log: quiet(), Metrics: NewMetrics(), Region: "kita"}
-	options.Settings.PlacesPerReplica, options.Settings.QueuePerGroup, options.Settings.BodyLimit = 1000, 64, 1<<20
+	options.Settings.SlotsPerReplica, options.Settings.QueuePerGroup, options.Settings.RetryBodyLimit = 1000, 64, 1<<20
 	options.Settings.Deadline = 60_000_000_000
 	callers := NewCallers(options)
 	caller := &benchCaller{
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -238,7 +238,7 @@
 		c.refuse(x, *refusal)
 		return nil
 	}
-	body, err := newBodyReader(ctx, r, c.options.BodyLimit)
+	body, err := newBodyReader(ctx, r, c.options.RetryBodyLimit)
 	if err != nil {
 		writeProblem(w, Problem{Status: http.StatusBadRequest, Detail: "the body is shorter than its Content-Length"})
 		return nil
--- a/internal/daemon/callers_test.go
+++ b/internal/daemon/callers_test.go
@@ -130,7 +130,7 @@
 	c := newCalling(t, serveHTTP(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		begun <- struct{}{}
 		<-proceed
-	})), func(requests *settings.Requests) { requests.PlacesPerReplica, requests.QueuePerGroup = 1, 1 })
+	})), func(requests *settings.Requests) { requests.SlotsPerReplica, requests.QueuePerGroup = 1, 1 })
 	statuses := make(chan int, 2)
 	for range 2 {
 		go func() { statuses <- c.get(t, "/v1/services/chizu/").StatusCode }()
--- a/internal/daemon/configuration.go
+++ b/internal/daemon/configuration.go
@@ -227,7 +227,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	c.metrics.keyValueCalls.WithLabelValues("swap").Inc()
-	_, swapped, err := c.kv.Swap(callCtx, TableKey, value, revision, 0)
+	_, swapped, err := c.kv.CompareAndSwap(callCtx, TableKey, value, revision, 0)
 	return swapped, err
 }
 
--- a/internal/daemon/configuration_test.go
+++ b/internal/daemon/configuration_test.go
@@ -55,7 +55,7 @@
 	var once sync.Once
 	p.kv.SetFault(func(path string) (fault standin.Fault) {
 		if path == "/v3/kv/txn" {
-			once.Do(func() { fault.LoseAnswer = true })
+			once.Do(func() { fault.DropResponse = true })
 		}
 		return fault
 	})
@@ -79,7 +79,7 @@
 			return standin.Fault{Status: http.StatusServiceUnavailable}
 		}
 		gone = path == "/v3/kv/txn"
-		return standin.Fault{LoseAnswer: gone}
+		return standin.Fault{DropResponse: gone}
 	})
 	_, err := c.Edit(t.Context(), rowEdit("undecided", 1, table.ColumnWeight, "5"))
 	require.ErrorIs(t, err, ErrUndecided)
--- a/internal/daemon/copier.go
+++ b/internal/daemon/copier.go
@@ -60,7 +60,7 @@
 	cancel  context.CancelFunc
 	done    chan struct{}
 	// fence is the newest plan that wants the version.
-	fence provider.Fence
+	fence provider.FencingToken
 
 	mu         sync.Mutex
 	neighbours []weights.Peer
@@ -151,7 +151,7 @@
 }
 
 func (c *Copier) adopt(ctx context.Context, next assigned) {
-	fence := provider.Fence{Epoch: next.version.Major, Sequence: next.version.Minor}
+	fence := provider.FencingToken{Epoch: next.version.Major, Sequence: next.version.Minor}
 	wanted := make(map[weights.Digest]bool)
 	for _, w := range next.Versions {
 		wanted[w.Manifest] = true
@@ -185,7 +185,7 @@
 	delete(c.dropping, manifest)
 }
 
-func (c *Copier) want(ctx context.Context, w plan.PinnedVersion, fence provider.Fence) {
+func (c *Copier) want(ctx context.Context, w plan.PinnedVersion, fence provider.FencingToken) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if job, running := c.copies[w.Manifest]; running {
@@ -302,7 +302,7 @@
 	j.fetching = fetching
 }
 
-func (j *copyJob) currentFence() provider.Fence {
+func (j *copyJob) currentFence() provider.FencingToken {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.fence
@@ -332,7 +332,7 @@
 	}
 	return c.options.Engine.Order(ctx, provider.Order{
 		Kind: provider.OrderLoad, Model: job.weights.Model, Version: job.weights.Version, Manifest: manifest.Digest(),
-		Chunks: len(manifest.Chunks), Whole: manifest.WholeDigest, Fence: job.currentFence(),
+		Chunks: len(manifest.Chunks), WholeDigest: manifest.WholeDigest, Fence: job.currentFence(),
 	})
 }
 
@@ -347,7 +347,7 @@
 
 // drop takes a version out: no new requests, those in progress end, then the
 // engine unloads it.
-func (c *Copier) drop(ctx context.Context, job *copyJob, fence provider.Fence) {
+func (c *Copier) drop(ctx context.Context, job *copyJob, fence provider.FencingToken) {
 	job.cancel()
 	<-job.done
 	c.removeCopy(job)
--- a/internal/daemon/fetch.go
+++ b/internal/daemon/fetch.go
@@ -160,7 +160,7 @@
 		return "digest"
 	case errors.Is(err, errStalled):
 		return "stalled"
-	case errors.Is(err, provider.ErrLimited):
+	case errors.Is(err, provider.ErrRateLimited):
 		return "limited"
 	case errors.Is(err, errDial):
 		return "unreachable"
--- a/internal/daemon/fetch_test.go
+++ b/internal/daemon/fetch_test.go
@@ -149,8 +149,8 @@
 	eventually(t, f.isLive, "the version is live")
 	orders := f.engine.Orders()
 	require.Len(t, orders, 1)
-	require.Equal(t, provider.Fence{Epoch: 1, Sequence: 3}, orders[0].Fence)
-	require.Equal(t, f.manifest.WholeDigest, orders[0].Whole)
+	require.Equal(t, provider.FencingToken{Epoch: 1, Sequence: 3}, orders[0].Fence)
+	require.Equal(t, f.manifest.WholeDigest, orders[0].WholeDigest)
 	_, refusal, _ := f.gate.enter(&wire.RequestHead{
 		RequestId: "r", Attempt: "r/1", Service: "kakiwake", Version: "v1", Incarnation: uint64(f.heart.Record().Incarnation),
 	})
@@ -275,7 +275,7 @@
 	f.assign(1, f.manifest.Digest())
 	f.swarm(t, nil, "self")
 	eventually(t, f.isLive, "the version is live")
-	f.engine.Forget()
+	f.engine.Reset()
 	place := route.ServiceVersion{Service: "kakiwake", Version: "v1"}
 	eventually(t, func() bool {
 		f.gate.mu.Lock()
@@ -287,9 +287,9 @@
 func TestOlderOrdersAreRefusedByTheEngine(t *testing.T) {
 	f := newFetching(t, 1<<20)
 	engine := f.copier.options.Engine
-	newer := provider.Order{Kind: provider.OrderUnload, Model: "kakiwake", Version: "v1", Fence: provider.Fence{Epoch: 5, Sequence: 2}}
+	newer := provider.Order{Kind: provider.OrderUnload, Model: "kakiwake", Version: "v1", Fence: provider.FencingToken{Epoch: 5, Sequence: 2}}
 	require.NoError(t, engine.Order(t.Context(), newer))
-	for _, fence := range []provider.Fence{{Epoch: 4, Sequence: 9}, {Epoch: 5, Sequence: 1}} {
+	for _, fence := range []provider.FencingToken{{Epoch: 4, Sequence: 9}, {Epoch: 5, Sequence: 1}} {
 		older := newer
 		older.Fence = fence
 		require.ErrorIs(t, engine.Order(t.Context(), older), provider.ErrFenced)
--- a/internal/daemon/headers.go
+++ b/internal/daemon/headers.go
@@ -33,7 +33,7 @@
 	}
 	lines := make([]*wire.Header, 0, len(header))
 	for name, values := range header {
-		if slices.Contains(upstream.ConnectionHeaders, name) || slices.Contains(named, name) {
+		if slices.Contains(upstream.HopByHopHeaders, name) || slices.Contains(named, name) {
 			continue
 		}
 		lines = append(lines, &wire.Header{Name: name, Values: values})
--- a/internal/daemon/lister.go
+++ b/internal/daemon/lister.go
@@ -91,7 +91,7 @@
 	for _, box := range listed {
 		present[box.Box] = true
 		if box.Role == member.RoleEntry && box.State == provider.ListedLive {
-			entries = append(entries, box.Peers)
+			entries = append(entries, box.PeerAddress)
 		}
 		if box.State == provider.ListedLeaving {
 			l.hintLeaving(box.Box)
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -201,7 +201,7 @@
 	case errors.Is(err, ErrUndecided):
 		problem.Status, problem.Title = http.StatusGatewayTimeout, "Edit undecided"
 		problem.Reason = "undecided"
-	case errors.Is(err, provider.ErrUnavailable), errors.Is(err, provider.ErrLimited):
+	case errors.Is(err, provider.ErrUnavailable), errors.Is(err, provider.ErrRateLimited):
 		problem.Status, problem.Title = http.StatusServiceUnavailable, "Nothing was changed"
 	default:
 		problem.Status = http.StatusInternalServerError
--- a/internal/daemon/planner_test.go
+++ b/internal/daemon/planner_test.go
@@ -67,7 +67,7 @@
 	planner := newTestPlanner(t, p, n, "planner", never)
 	tenure, err := planner.acquire(t.Context())
 	require.NoError(t, err)
-	p.kv.SetFault(func(string) standin.Fault { return standin.Fault{LoseAnswer: true} })
+	p.kv.SetFault(func(string) standin.Fault { return standin.Fault{DropResponse: true} })
 	require.Error(t, planner.planOnce(t.Context(), tenure))
 	require.Zero(t, n.view.Head().Epoch)
 	p.kv.SetFault(nil)
--- a/internal/daemon/steps.go
+++ b/internal/daemon/steps.go
@@ -177,7 +177,7 @@
 		return err
 	}
 	clock, log, isRelay := p.options.Clock, p.options.Log, p.overlay.IsRelay
-	monitor := NewMonitor(member.Address(p.PeersAddress()), view, replica, p.peers, clock, log, p.metrics, time.Duration(p.settings.Peers.Silence))
+	monitor := NewMonitor(member.Address(p.PeersAddress()), view, replica, p.peers, clock, log, p.metrics, time.Duration(p.settings.Peers.SilenceTimeout))
 	if err := wire.DRPCRegisterMonitor(p.mux, monitor); err != nil {
 		return err
 	}
@@ -287,7 +287,7 @@
 		return err
 	}
 	picker := weights.DefaultPickerOptions()
-	picker.RankDelay = time.Duration(p.settings.Weights.DrawWait)
+	picker.RankDelay = time.Duration(p.settings.Weights.OriginFetchWait)
 	if p.settings.Weights.Prefer == settings.PreferSoonestLive {
 		picker.RankDelay /= soonestPart
 	}
--- a/internal/daemon/tenure.go
+++ b/internal/daemon/tenure.go
@@ -53,7 +53,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	p.metrics.keyValueCalls.WithLabelValues("swap").Inc()
-	revision, won, err := p.kv.Swap(callCtx, plannerKey, []byte(p.self), 0, t.lease)
+	revision, won, err := p.kv.CompareAndSwap(callCtx, plannerKey, []byte(p.self), 0, t.lease)
 	if err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	p.metrics.keyValueCalls.WithLabelValues("swap").Inc()
-	revision, won, err := p.kv.Swap(callCtx, planHeadKey, value, t.headRevision, 0)
+	revision, won, err := p.kv.CompareAndSwap(callCtx, planHeadKey, value, t.headRevision, 0)
 	if err != nil {
 		return err
 	}
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -209,7 +209,7 @@
 		if err := json.NewEncoder(&value).Encode(next); err != nil {
 			return fmt.Errorf("encoding the table: %w", err)
 		}
-		_, swapped, err := kv.Swap(ctx, daemon.TableKey, value.Bytes(), held.Revision, 0)
+		_, swapped, err := kv.CompareAndSwap(ctx, daemon.TableKey, value.Bytes(), held.Revision, 0)
 		if err != nil || swapped {
 			return err
 		}
@@ -234,13 +234,13 @@
 func (c *Cluster) common(box, domain string) *settings.Settings {
 	s := &settings.Settings{Box: box, Organisation: "example", Region: "kita", FailureDomain: domain, Platform: c.platform}
 	s.Listen.Peers, s.Listen.Operators = loopback, loopback
-	s.Peers.Heartbeat, s.Peers.Silence = settings.Duration(heartbeat), settings.Duration(silence)
+	s.Peers.Heartbeat, s.Peers.SilenceTimeout = settings.Duration(heartbeat), settings.Duration(silence)
 	for _, entry := range c.entries {
 		s.Peers.Entries = append(s.Peers.Entries, entry.PeersAddress())
 	}
 	s.Stop.Grace = settings.Duration(stopGrace)
 	s.Requests.EntriesTTL = settings.Duration(entriesTTL)
-	s.Weights.DrawWait = settings.Duration(500 * time.Millisecond)
+	s.Weights.OriginFetchWait = settings.Duration(500 * time.Millisecond)
 	s.Default()
 	return s
 }
@@ -271,13 +271,13 @@
 	s.Agent.Engine.Slots = slots
 	var err error
 	s.Agent.Engine.URL, err = c.serve(standin.NewEngine(c.options.Clock, standin.EngineOptions{
-		Slots: slots, LoadTime: 100 * time.Millisecond, TokenTime: tokenTime, Tokens: tokens,
+		Slots: slots, LoadTime: 100 * time.Millisecond, TokenInterval: tokenTime, Tokens: tokens,
 	}))
 	if err != nil {
 		return err
 	}
 	if i == agentBoxes-1 {
-		url, err := c.serve(standin.NewPlain(c.options.Clock))
+		url, err := c.serve(standin.NewPlainService(c.options.Clock))
 		if err != nil {
 			return err
 		}
@@ -299,7 +299,7 @@
 	c.list.Set(provider.ListedBox{
 		Box: member.BoxID(s.Box), Role: role, Region: member.Region(s.Region),
 		FailureDomain: member.FailureDomain(s.FailureDomain),
-		Peers:         member.Address(process.PeersAddress()), State: provider.ListedLive,
+		PeerAddress:   member.Address(process.PeersAddress()), State: provider.ListedLive,
 	})
 	return process, nil
 }
--- a/internal/direct/answerheaders.go
+++ b/internal/direct/answerheaders.go
@@ -12,31 +12,31 @@
 // heard takes what a backend server says of itself in the head of an answer. That holds whatever becomes of the
 // request: read for the fate of the request alone, it was forgotten with it.
 func (f *Front) heard(x *exchange, place *route.Reservation, head *http.Response) {
-	mark := f.protocol.ReadAnswer(head)
+	mark := f.protocol.ReadResponse(head)
 	server := string(place.Server.ID)
-	if mark.Unread != nil {
-		f.log.Warn().Str("request", x.ID).Str("server", server).Err(mark.Unread).Msg("server's word not read")
+	if mark.ParseErr != nil {
+		f.log.Warn().Str("request", x.ID).Str("server", server).Err(mark.ParseErr).Msg("server's word not read")
 	}
 	if mark.Leaving {
 		f.metrics.words.WithLabelValues("leaving").Inc()
 		f.heardLeaving(x, place)
 	}
 	f.heardRateLimit(x, place, &mark, head)
-	if mark.Rest > 0 {
-		rest, now := min(mark.Rest, restLongest), f.clock.Now()
+	if mark.Backoff > 0 {
+		rest, now := min(mark.Backoff, restLongest), f.clock.Now()
 		place.BackOff(now.Add(rest), now)
 		f.metrics.words.WithLabelValues("rest").Inc()
 		f.log.Info().Str("request", x.ID).Str("server", server).Uint64("incarnation", uint64(place.Incarnation)).Int("status", head.StatusCode).
-			Dur("asked_ms", mark.Rest).Dur("rest_ms", rest).Msg("server asks for rest")
+			Dur("asked_ms", mark.Backoff).Dur("rest_ms", rest).Msg("server asks for rest")
 	}
 }
 
 // heardRateLimit records the rate limit in an answer. An answer without one clears the limit, unless it is an interim
 // response, comes from another server or has headers that could not be parsed.
-func (f *Front) heardRateLimit(x *exchange, place *route.Reservation, mark *provider.AnswerMark, head *http.Response) {
+func (f *Front) heardRateLimit(x *exchange, place *route.Reservation, mark *provider.ResponseMetadata, head *http.Response) {
 	if mark.RateLimit.Set {
 		f.metrics.words.WithLabelValues("limit").Inc()
-	} else if head.StatusCode < http.StatusOK || mark.OtherServer || mark.Unread != nil {
+	} else if head.StatusCode < http.StatusOK || mark.Misdirected || mark.ParseErr != nil {
 		return
 	}
 	sent := place.ReservedAt()
--- a/internal/direct/attempt.go
+++ b/internal/direct/attempt.go
@@ -45,11 +45,11 @@
 		return f.sendFailed(x, place, guard.reason(err))
 	}
 	x.attempts++
-	mark := f.protocol.ReadAnswer(answer.Response)
-	if mark.NotRun {
+	mark := f.protocol.ReadResponse(answer.Response)
+	if mark.NotExecuted {
 		answer.Discard()
 		result := route.ResultRefused
-		if mark.OtherServer {
+		if mark.Misdirected {
 			result = route.ResultReplaced
 			x.misdirected++
 		}
@@ -89,9 +89,9 @@
 // outbound makes the request for one server.
 func (f *Front) outbound(x *exchange, place *route.Reservation, now time.Time) *upstream.Request {
 	header := x.request.Header.Clone()
-	upstream.RemoveConnectionHeaders(header)
-	out := provider.Outbound{
-		Server: place.Server.ID, Deadline: x.deadline.Sub(now), LastEvent: x.lastEvent, Priority: -1,
+	upstream.RemoveHopByHopHeaders(header)
+	out := provider.OutboundMetadata{
+		Server: place.Server.ID, Deadline: x.deadline.Sub(now), LastEventID: x.lastEvent, Priority: -1,
 	}
 	if x.organisation != nil {
 		out.Organisation = x.organisation.Name
@@ -99,7 +99,7 @@
 	request := &upstream.Request{
 		Address: place.Server.Address, ID: x.ID, Method: x.request.Method, Target: x.request.RequestURI, Host: x.request.Host,
 		Header: header, Body: x.body,
-		Check: func() error {
+		BeforeSend: func() error {
 			if f.isBarred(x.service, place) {
 				return errBarred
 			}
@@ -108,7 +108,7 @@
 			}
 			return place.Check(f.clock.Now())
 		},
-		Heard: func(head *http.Response) { f.heard(x, place, head) },
+		OnResponse: func(head *http.Response) { f.heard(x, place, head) },
 	}
 	if service := f.facts.View().Service(x.service); service != nil && service.Engine != nil && len(service.Engine.Models) > 0 {
 		out.Priority = f.priority(x)
@@ -142,7 +142,7 @@
 	}
 	if !upstream.MayHaveRun(err) {
 		f.ended(x, place, route.ResultUnreachable, err)
-		f.pool.Forget(place.Server.Address)
+		f.pool.CloseIdle(place.Server.Address)
 		// No byte went out, so this was no attempt.
 		x.unreachable++
 		return outcomeNotRun, err
@@ -172,10 +172,10 @@
 }
 
 // passHead passes the status and the headers of an answer on.
-func (f *Front) passHead(x *exchange, answer *upstream.Answer) {
+func (f *Front) passHead(x *exchange, answer *upstream.Response) {
 	header := x.writer.Header()
 	length := answer.Header["Content-Length"]
-	upstream.RemoveConnectionHeaders(answer.Header)
+	upstream.RemoveHopByHopHeaders(answer.Header)
 	for name, values := range answer.Header {
 		header[name] = values
 	}
@@ -195,7 +195,7 @@
 const wholeBuffer = 64 << 10
 
 // passWhole passes on an answer that is not a stream of events.
-func (f *Front) passWhole(x *exchange, place *route.Reservation, answer *upstream.Answer) (outcome, error) {
+func (f *Front) passWhole(x *exchange, place *route.Reservation, answer *upstream.Response) (outcome, error) {
 	place.Started(f.clock.Now())
 	buffer := make([]byte, 0, min(wholeBuffer, max(512, int(answer.ContentLength)+1)))
 	var err error
@@ -227,7 +227,7 @@
 }
 
 // resultOf is how an answer that was passed on counts for its server.
-func resultOf(answer *upstream.Answer) route.Result {
+func resultOf(answer *upstream.Response) route.Result {
 	if answer.StatusCode >= 500 {
 		return route.ResultFailed
 	}
--- a/internal/direct/bar_test.go
+++ b/internal/direct/bar_test.go
@@ -98,7 +98,7 @@
 		dispatchers: make(map[member.Service]*route.Dispatcher), budgets: make(map[member.Service]*route.WindowRetryBudget), models: make(map[member.Service]fleet.ModelName),
 		patience: make(map[string]*route.CallerTimeoutEstimator),
 	}
-	w.front.pool = upstream.NewPool(upstream.Options{Clock: clock, IsOwn: func(*http.Response, string) bool { return true }})
+	w.front.pool = upstream.NewPool(upstream.Options{Clock: clock, Matches: func(*http.Response, string) bool { return true }})
 	engine := &fleet.Engine{Slots: 4, Models: []fleet.ModelName{"m"}, PrefillTokensPerSecond: 30000}
 	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{
 		Version: 1, Services: []fleet.Service{{Name: "llm", Engine: engine}},
@@ -125,10 +125,10 @@
 // testProtocol writes nothing but the version that must answer, and takes every answer.
 func testProtocol() provider.CallerProtocol {
 	return provider.CallerProtocol{
-		WriteRequest: func(header http.Header, out provider.Outbound) {
+		WriteRequest: func(header http.Header, out provider.OutboundMetadata) {
 			header.Set("Expect", strconv.FormatUint(uint64(out.Version), 10))
 		},
-		ReadAnswer: func(*http.Response) provider.AnswerMark { return provider.AnswerMark{Signed: true} },
+		ReadResponse: func(*http.Response) provider.ResponseMetadata { return provider.ResponseMetadata{Signed: true} },
 	}
 }
 
@@ -156,7 +156,7 @@
 func (w *barWorld) request() *exchange {
 	request := httptest.NewRequestWithContext(w.t.Context(), http.MethodPost, "/draft/1", http.NoBody)
 	x := &exchange{
-		Inbound: provider.Inbound{ID: "r", Deadline: time.Minute}, writer: httptest.NewRecorder(), request: request, service: "llm", arrived: w.clock.Now(),
+		InboundMetadata: provider.InboundMetadata{ID: "r", Deadline: time.Minute}, writer: httptest.NewRecorder(), request: request, service: "llm", arrived: w.clock.Now(),
 		route: &fleet.Route{Name: "draft", Kind: fleet.KindStream, MaxAttempts: 1, Objective: 400 * time.Millisecond, Timeout: time.Minute},
 	}
 	w.front.setTimes(x)
@@ -330,7 +330,7 @@
 	link := newSlowLink(t)
 	w := newBarWorld(t, link.address)
 	w.front.pool = upstream.NewPool(upstream.Options{
-		Clock: w.clock, IsOwn: func(*http.Response, string) bool { return true }, Opened: func() { w.clock.Advance(testBound) },
+		Clock: w.clock, Matches: func(*http.Response, string) bool { return true }, OnConnect: func() { w.clock.Advance(testBound) },
 	})
 	w.nameSecond()
 	w.clock.Advance(time.Second)
@@ -377,7 +377,7 @@
 		ID: "a", Service: "llm", Address: link.address, Slots: 4, Models: []fleet.LoadedModel{{Name: "m", Version: 2}},
 	}}
 	opened := 0
-	w.front.pool = upstream.NewPool(upstream.Options{Clock: w.clock, IsOwn: func(*http.Response, string) bool { return true }, Opened: func() {
+	w.front.pool = upstream.NewPool(upstream.Options{Clock: w.clock, Matches: func(*http.Response, string) bool { return true }, OnConnect: func() {
 		if opened++; opened == 1 {
 			w.clock.Advance(testBound)
 		} else {
--- a/internal/direct/crash_test.go
+++ b/internal/direct/crash_test.go
@@ -17,7 +17,7 @@
 // crashes BODY.
 func (w *world) cmdCrashes(args []string) error {
 	for _, s := range w.servers {
-		s.CrashAt(args[0], func() { w.crash(s) })
+		s.CrashOnBody(args[0], func() { w.crash(s) })
 	}
 	return nil
 }
@@ -25,13 +25,13 @@
 // crash ends a server and starts it again under its id. It holds its weights as soon as it is back.
 func (w *world) crash(s *worldServer) {
 	version := s.Version()
-	if err := s.host.End(); err != nil {
+	if err := s.host.Kill(); err != nil {
 		w.t.Error(err)
 	}
 	w.restarts.Go(func() {
 		time.Sleep(crashDown)
 		s.Restart(s.id)
-		s.Hold(version)
+		s.SetVersion(version)
 		if err := s.host.Start(); err != nil {
 			w.t.Error(err)
 		}
@@ -43,7 +43,7 @@
 func (w *world) harmed(path, body string) int {
 	count := 0
 	for _, s := range w.servers {
-		for _, visit := range s.Visits() {
+		for _, visit := range s.ReceivedRequests() {
 			if visit.Path == path && visit.Body == body {
 				count++
 			}
@@ -127,8 +127,8 @@
 func (w *world) cmdRunning(args []string) error {
 	id := fmt.Sprintf("running-%d", w.asked.Add(1))
 	for _, s := range w.servers {
-		s.Pace(runningPace)
-		defer s.Pace(eventTime)
+		s.SetEventInterval(runningPace)
+		defer s.SetEventInterval(eventTime)
 	}
 	response, err := w.requestBody(args[0], id, args[1], "key-1", args[2])
 	if err != nil {
--- a/internal/direct/direct.go
+++ b/internal/direct/direct.go
@@ -49,7 +49,7 @@
 type Options struct {
 	Clock    clockwork.Clock
 	Log      zerolog.Logger
-	Platform provider.Direct
+	Platform provider.DirectPlatform
 	// LogQueue is where the log goes, if its losses are to be counted.
 	LogQueue *daemon.LogQueue
 }
@@ -153,7 +153,7 @@
 // listen opens a listener whose connections fail soon after their peer has
 // fallen silent.
 func listen(address string) (net.Listener, error) {
-	config := net.ListenConfig{Control: upstream.SetSilenceTimeout}
+	config := net.ListenConfig{Control: upstream.SetUserTimeout}
 	return config.Listen(context.Background(), "tcp", address)
 }
 
--- a/internal/direct/directory.go
+++ b/internal/direct/directory.go
@@ -58,7 +58,7 @@
 // resolve answers with the ready entry boxes of the caller's region, or with all
 // of them if there is none.
 func (d *Directory) resolve(c echo.Context) error {
-	question := d.protocol.ReadQuestion(c.Request())
+	question := d.protocol.ReadDirectoryQuery(c.Request())
 	boxes := d.entries.Ready()
 	if d.status.Ready() {
 		boxes = append(boxes, d.self)
@@ -78,7 +78,7 @@
 		return c.NoContent(http.StatusServiceUnavailable)
 	}
 	rand.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
-	return c.JSON(http.StatusOK, d.protocol.WriteAddresses(chosen[:min(len(chosen), directoryLimit)], d.keep))
+	return c.JSON(http.StatusOK, d.protocol.NewDirectoryResponse(chosen[:min(len(chosen), directoryLimit)], d.keep))
 }
 
 // nearLeast is how many entry boxes of a caller's region suffice for it.
--- a/internal/direct/exchange.go
+++ b/internal/direct/exchange.go
@@ -20,7 +20,7 @@
 
 // exchange is one request of a caller.
 type exchange struct {
-	provider.Inbound
+	provider.InboundMetadata
 
 	writer       http.ResponseWriter
 	request      *http.Request
@@ -66,7 +66,7 @@
 	f.active.Add(1)
 	defer f.active.Add(-1)
 	x := &exchange{
-		Inbound: f.protocol.ReadRequest(c.Request()), writer: c.Response().Writer, request: c.Request(), arrived: f.clock.Now(),
+		InboundMetadata: f.protocol.ReadRequest(c.Request()), writer: c.Response().Writer, request: c.Request(), arrived: f.clock.Now(),
 	}
 	if f.leaving.Load() {
 		x.writer.Header().Set("Connection", "close")
--- a/internal/direct/facts.go
+++ b/internal/direct/facts.go
@@ -240,7 +240,7 @@
 }
 
 // missing returns the facts that are held but no longer in the store.
-func (f *Facts) missing(got provider.Facts) []fleet.Fact {
+func (f *Facts) missing(got provider.FactBatch) []fleet.Fact {
 	present := make(map[string]bool, len(got.Facts))
 	for i := range got.Facts {
 		present[got.Facts[i].Key] = true
@@ -248,7 +248,7 @@
 	var gone []fleet.Fact
 	for _, item := range f.store.Prefix("") {
 		if !present[item.Key] && !item.Deleted {
-			gone = append(gone, fleet.Fact{Key: item.Key, Revision: got.At, Deleted: true})
+			gone = append(gone, fleet.Fact{Key: item.Key, Revision: got.Revision, Deleted: true})
 		}
 	}
 	return gone
--- a/internal/direct/facts_test.go
+++ b/internal/direct/facts_test.go
@@ -19,10 +19,10 @@
 
 // scriptedStore answers calls one after the other.
 type scriptedStore struct {
-	answers []func() (provider.Facts, error)
+	answers []func() (provider.FactBatch, error)
 }
 
-func (s *scriptedStore) next() (provider.Facts, error) {
+func (s *scriptedStore) next() (provider.FactBatch, error) {
 	answer := s.answers[0]
 	s.answers = s.answers[1:]
 	return answer()
@@ -30,20 +30,20 @@
 
 func (s *scriptedStore) source() provider.FactSource {
 	return provider.FactSource{
-		Snapshot: func(context.Context) (provider.Facts, error) { return s.next() },
-		Changes: func(context.Context, fleet.Revision, time.Duration) (provider.Facts, error) {
+		Snapshot: func(context.Context) (provider.FactBatch, error) { return s.next() },
+		Changes: func(context.Context, fleet.Revision, time.Duration) (provider.FactBatch, error) {
 			return s.next()
 		},
 		Reconnect: func() {},
 	}
 }
 
-func gives(at fleet.Revision, facts ...fleet.Fact) func() (provider.Facts, error) {
-	return func() (provider.Facts, error) { return provider.Facts{Facts: facts, At: at}, nil }
+func gives(at fleet.Revision, facts ...fleet.Fact) func() (provider.FactBatch, error) {
+	return func() (provider.FactBatch, error) { return provider.FactBatch{Facts: facts, Revision: at}, nil }
 }
 
-func fails(err error) func() (provider.Facts, error) {
-	return func() (provider.Facts, error) { return provider.Facts{}, err }
+func fails(err error) func() (provider.FactBatch, error) {
+	return func() (provider.FactBatch, error) { return provider.FactBatch{}, err }
 }
 
 func listed(id fleet.ServerID, revision fleet.Revision) fleet.Fact {
@@ -55,10 +55,10 @@
 }
 
 // outage is a store that answers, refuses for longer than entries last, and answers again.
-func outage(before func() (provider.Facts, error), after ...func() (provider.Facts, error)) []func() (provider.Facts, error) {
+func outage(before func() (provider.FactBatch, error), after ...func() (provider.FactBatch, error)) []func() (provider.FactBatch, error) {
 	calls := int(2*lapseLeast/probeShortest) + 1
-	away := slices.Repeat([]func() (provider.Facts, error){fails(provider.ErrUnavailable)}, calls)
-	return slices.Concat([]func() (provider.Facts, error){before}, away, after)
+	away := slices.Repeat([]func() (provider.FactBatch, error){fails(provider.ErrUnavailable)}, calls)
+	return slices.Concat([]func() (provider.FactBatch, error){before}, away, after)
 }
 
 // gone is the deletion of server a at revision 7.
@@ -66,7 +66,7 @@
 
 // play reads the store until all answers are given. Waits are passed over; it runs in a
 // synctest bubble, so that no answer is overdue because the machine is busy.
-func play(t *testing.T, clock *clockwork.FakeClock, facts *Facts, answers ...func() (provider.Facts, error)) {
+func play(t *testing.T, clock *clockwork.FakeClock, facts *Facts, answers ...func() (provider.FactBatch, error)) {
 	t.Helper()
 	store := &scriptedStore{answers: answers}
 	reader := &storeReader{
@@ -147,7 +147,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		facts, clock := newTestFacts()
 		play(t, clock, facts,
-			gives(5, listed("a", 3), listed("b", 4)), fails(provider.ErrHistoryGone), gives(9, listed("b", 4)))
+			gives(5, listed("a", 3), listed("b", 4)), fails(provider.ErrCompacted), gives(9, listed("b", 4)))
 		servers := facts.View().Servers("llm")
 		require.Len(t, servers, 1)
 		require.Equal(t, fleet.ServerID("b"), servers[0].ID)
--- a/internal/direct/fetch.go
+++ b/internal/direct/fetch.go
@@ -327,7 +327,7 @@
 func (l *Loader) draw(ctx context.Context, want *target, version fleet.WeightsVersion, piece int) ([]byte, error) {
 	callCtx, cancel := context.WithTimeout(ctx, pieceTimeout)
 	defer cancel()
-	return l.options.Origin.Piece(callCtx, want.origin.Origin, want.model, version, piece)
+	return l.options.Origin.Chunk(callCtx, want.origin.Origin, want.model, version, piece)
 }
 
 func (f *fetch) transfer(ctx context.Context, task weights.FetchTask) ([]byte, error) {
--- a/internal/direct/front.go
+++ b/internal/direct/front.go
@@ -117,7 +117,7 @@
 	}
 	f.onLimitedSend = p.status.noteLimitedSend
 	f.pool = upstream.NewPool(upstream.Options{
-		Clock: p.options.Clock, IsOwn: f.isOwn, KeepPerServer: keepPerServer, Opened: p.metrics.connections.Inc,
+		Clock: p.options.Clock, Matches: f.isOwn, MaxIdlePerServer: keepPerServer, OnConnect: p.metrics.connections.Inc,
 	})
 	f.ends = newEndProbes(f.clock, f.pool)
 	p.front = f
@@ -134,8 +134,8 @@
 // isOwn reports whether an answer belongs to the request. A refusal that does
 // not name its request is taken for the one that is waiting.
 func (f *Front) isOwn(answer *http.Response, id string) bool {
-	mark := f.protocol.ReadAnswer(answer)
-	return mark.RequestID == id || mark.RequestID == "" && mark.NotRun
+	mark := f.protocol.ReadResponse(answer)
+	return mark.RequestID == id || mark.RequestID == "" && mark.NotExecuted
 }
 
 // String returns the service's name.
--- a/internal/direct/front_test.go
+++ b/internal/direct/front_test.go
@@ -60,7 +60,7 @@
 func TestARequestWaitsForABoxThatHasJustStartedToKnowAConfiguration(t *testing.T) {
 	facts, clock := newTestFacts()
 	f := &Front{suspects: noSuspects(), answered: newAnsweredLately(), facts: facts, clock: clock}
-	x := &exchange{Inbound: provider.Inbound{Deadline: 4 * time.Second}, request: httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/", http.NoBody)}
+	x := &exchange{InboundMetadata: provider.InboundMetadata{Deadline: 4 * time.Second}, request: httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/", http.NoBody)}
 	got := make(chan *fleet.View, 1)
 	go func() { got <- f.awaitConfiguration(x) }()
 	require.NoError(t, clock.BlockUntilContext(t.Context(), 1))
@@ -82,7 +82,7 @@
 	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{Version: 3}}}, "store")
 	f := &Front{
 		suspects: noSuspects(), answered: newAnsweredLately(), facts: facts, clock: clock, metrics: NewMetrics(), log: zerolog.Nop(),
-		protocol: provider.CallerProtocol{ReadRequest: func(*http.Request) provider.Inbound { return provider.Inbound{} }},
+		protocol: provider.CallerProtocol{ReadRequest: func(*http.Request) provider.InboundMetadata { return provider.InboundMetadata{} }},
 	}
 	f.leavingSince = clock.Now()
 	f.leaving.Store(true)
@@ -108,7 +108,7 @@
 	f := &Front{suspects: noSuspects(), answered: newAnsweredLately(), facts: facts, clock: clock, log: zerolog.Nop(), metrics: NewMetrics(), patience: make(map[string]*route.CallerTimeoutEstimator)}
 	come := func(target string, left time.Duration) (*exchange, *route.SlotRequest) {
 		x := &exchange{
-			Inbound: provider.Inbound{Deadline: left}, arrived: clock.Now(), writer: httptest.NewRecorder(),
+			InboundMetadata: provider.InboundMetadata{Deadline: left}, arrived: clock.Now(), writer: httptest.NewRecorder(),
 			request: httptest.NewRequestWithContext(t.Context(), http.MethodPost, target, http.NoBody),
 			route:   &fleet.Route{Name: "draft", Objective: 400 * time.Millisecond, Timeout: 6 * time.Second},
 		}
@@ -152,7 +152,7 @@
 	come := func(f *Front, id, target string, left time.Duration) *exchange {
 		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, target, http.NoBody)
 		x := &exchange{
-			Inbound: provider.Inbound{ID: id, Key: "k", Deadline: left}, arrived: clock.Now(), request: request, writer: httptest.NewRecorder(),
+			InboundMetadata: provider.InboundMetadata{ID: id, Key: "k", Deadline: left}, arrived: clock.Now(), request: request, writer: httptest.NewRecorder(),
 			body: []byte("draft"), route: &fleet.Route{Name: "draft", Objective: 400 * time.Millisecond, Timeout: 6 * time.Second},
 		}
 		f.setTimes(x)
--- a/internal/direct/key_test.go
+++ b/internal/direct/key_test.go
@@ -19,7 +19,7 @@
 const lookRoute = `[{"Name":"look","Host":"a.example","PathPrefix":"/look/","Type":"safe","Service":"maps"}]`
 
 // readFrom returns what a store tells in which the operators have written one configuration.
-func readFrom(t *testing.T, configuration string, revision fleet.Revision) provider.Facts {
+func readFrom(t *testing.T, configuration string, revision fleet.Revision) provider.FactBatch {
 	t.Helper()
 	store := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		answer := map[string]any{"at": revision}
@@ -48,7 +48,7 @@
 	}
 	recorder := httptest.NewRecorder()
 	callers := platform.New(platform.Addresses{}, http.DefaultClient).Callers
-	if f.admit(&exchange{Inbound: callers.ReadRequest(request), writer: recorder, request: request, arrived: f.clock.Now()}) {
+	if f.admit(&exchange{InboundMetadata: callers.ReadRequest(request), writer: recorder, request: request, arrived: f.clock.Now()}) {
 		return admitted
 	}
 	return recorder.Code
@@ -64,7 +64,7 @@
 		for _, authorization := range []string{"", "Bearer", "Bearer ", "Bearer  ", "Bearer \t", " ", "Bearer 7"} {
 			require.Equal(t, http.StatusUnauthorized, statusOf(t, facts, "/look/1", authorization), "keys %s, header %q", keys, authorization)
 		}
-		require.Len(t, told.Findings, 1, keys)
+		require.Len(t, told.Errors, 1, keys)
 	}
 }
 
--- a/internal/direct/limit_test.go
+++ b/internal/direct/limit_test.go
@@ -74,7 +74,7 @@
 // cmdLimited checks that a server received no more requests than its rate limit allows and, in its last seconds, at least the given
 // part of that: limited plain-1 0.8 4.
 func (w *world) cmdLimited(args []string) error {
-	visits := sinceLimited(w.servers[args[0]].Visits())
+	visits := sinceLimited(w.servers[args[0]].ReceivedRequests())
 	w.load.mu.Lock()
 	defer w.load.mu.Unlock()
 	told := make(map[string]time.Time)
@@ -86,7 +86,7 @@
 		if named.IsZero() {
 			named = visit.At
 		}
-		entry, at := w.load.entries[visit.Request], w.load.answered[visit.Request]
+		entry, at := w.load.entries[visit.RequestID], w.load.answered[visit.RequestID]
 		if known := told[entry]; !at.IsZero() && (known.IsZero() || at.Before(known)) {
 			told[entry] = at
 		}
@@ -94,9 +94,9 @@
 	if named.IsZero() {
 		return fmt.Errorf("%s has advertised no limit", args[0])
 	}
-	var counted []standin.Visit
+	var counted []standin.ReceivedRequest
 	for _, visit := range visits {
-		if at := told[w.load.entries[visit.Request]]; !at.IsZero() && visit.At.Sub(at) >= limitNotice {
+		if at := told[w.load.entries[visit.RequestID]]; !at.IsZero() && visit.At.Sub(at) >= limitNotice {
 			counted = append(counted, visit)
 		}
 	}
@@ -109,7 +109,7 @@
 }
 
 // sinceLimited returns the visits after the last one whose answer had no limit.
-func sinceLimited(visits []standin.Visit) []standin.Visit {
+func sinceLimited(visits []standin.ReceivedRequest) []standin.ReceivedRequest {
 	for i := len(visits) - 1; i >= 0; i-- {
 		if visits[i].Limit == "" {
 			return visits[i+1:]
@@ -120,7 +120,7 @@
 
 // withinLimit checks each window of the counted visits that ends at or after from, against the highest limit that was advertised in
 // the window or in limitGrace before it. It returns the largest number of visits in a window.
-func withinLimit(counted, all []standin.Visit, from time.Time) (most int, err error) {
+func withinLimit(counted, all []standin.ReceivedRequest, from time.Time) (most int, err error) {
 	arrivals := make([]time.Time, 0, len(counted))
 	for _, visit := range counted {
 		arrivals = append(arrivals, visit.At)
@@ -139,7 +139,7 @@
 	return most, err
 }
 
-func highestLimit(visits []standin.Visit, from, to time.Time) float64 {
+func highestLimit(visits []standin.ReceivedRequest, from, to time.Time) float64 {
 	highest := 0.0
 	for _, visit := range visits {
 		if named, err := strconv.ParseFloat(visit.Limit, 64); err == nil && !visit.At.Before(from) && !visit.At.After(to) {
@@ -150,7 +150,7 @@
 }
 
 // usesLimit checks that a server received at least the given part of what its limit allows in the last seconds of its visits.
-func (w *world) usesLimit(server string, visits []standin.Visit, part, seconds string) error {
+func (w *world) usesLimit(server string, visits []standin.ReceivedRequest, part, seconds string) error {
 	least, err := strconv.ParseFloat(part, 64)
 	if err != nil {
 		return err
--- a/internal/direct/loader.go
+++ b/internal/direct/loader.go
@@ -78,7 +78,7 @@
 	Suspects  *Suspects
 	Peers     *daemon.Peers
 	Server    provider.ModelServer
-	Origin    provider.PieceOrigin
+	Origin    provider.ChunkOrigin
 	Clock     clockwork.Clock
 	Log       zerolog.Logger
 	Metrics   *Metrics
--- a/internal/direct/metrics.go
+++ b/internal/direct/metrics.go
@@ -53,25 +53,25 @@
 func NewMetrics() *Metrics {
 	m := &Metrics{
 		registry:   prometheus.NewRegistry(),
-		requests:   metric.Counters("direct_requests_total", "Requests by route and outcome.", "route", "outcome"),
-		seconds:    metric.Histograms("direct_request_seconds", "Time from arrival to the end of the answer.", secondsBuckets, "route"),
-		firstEvent: metric.Histograms("direct_first_byte_seconds", "Time from arrival to the first byte of the answer.", secondsBuckets, "route"),
-		attempts:   metric.Counters("direct_attempts_total", "Attempts at backend servers by service and result.", "service", "result"),
-		words:      metric.Counters("direct_server_words_total", "Answers in which backend servers say that they leave, ask for rest or name a limit.", "word"),
-		suspects:   metric.Counters("suspect_requests_total", "What was heard of requests under which backend servers ended: one more has (ended), or one has run it well (cleared).", "heard"),
-		waiting:    metric.Gauges("direct_waiting", "Requests that wait for a place.", "service"),
-		limitedServers: metric.Gauges(
+		requests:   metric.CounterVec("direct_requests_total", "Requests by route and outcome.", "route", "outcome"),
+		seconds:    metric.HistogramVec("direct_request_seconds", "Time from arrival to the end of the answer.", secondsBuckets, "route"),
+		firstEvent: metric.HistogramVec("direct_first_byte_seconds", "Time from arrival to the first byte of the answer.", secondsBuckets, "route"),
+		attempts:   metric.CounterVec("direct_attempts_total", "Attempts at backend servers by service and result.", "service", "result"),
+		words:      metric.CounterVec("direct_server_words_total", "Answers in which backend servers say that they leave, ask for rest or name a limit.", "word"),
+		suspects:   metric.CounterVec("suspect_requests_total", "What was heard of requests under which backend servers ended: one more has (ended), or one has run it well (cleared).", "heard"),
+		waiting:    metric.GaugeVec("direct_waiting", "Requests that wait for a place.", "service"),
+		limitedServers: metric.GaugeVec(
 			"direct_limited_servers", "Backend servers with a rate limit that this box sends to, by service.", "service",
 		),
-		limitRefusals: metric.Counters(
+		limitRefusals: metric.CounterVec(
 			"direct_limit_refusals_total", "Requests refused while all servers that could run them had a rate limit, by service.", "service",
 		),
-		unclaimed:   metric.Gauges("direct_unclaimed", "Requests that backend servers report and no entry box that is heard here claims.", "service"),
+		unclaimed:   metric.GaugeVec("direct_unclaimed", "Requests that backend servers report and no entry box that is heard here claims.", "service"),
 		connections: metric.Counter("direct_connections_total", "Connections opened to backend servers."),
-		storeCalls:  metric.Counters("store_calls_total", "Calls of the platform's store by kind and result.", "call", "result"),
+		storeCalls:  metric.CounterVec("store_calls_total", "Calls of the platform's store by kind and result.", "call", "result"),
 		logDropped:  metric.Counter("log_lines_dropped_total", "Log lines dropped because they came too fast."),
-		pieces:      metric.Counters("pieces_total", "Pieces of weights received, by source and result.", "from", "result"),
-		orders:      metric.Counters("orders_total", "Orders given to the backend server, by result.", "result"),
+		pieces:      metric.CounterVec("pieces_total", "Pieces of weights received, by source and result.", "from", "result"),
+		orders:      metric.CounterVec("orders_total", "Orders given to the backend server, by result.", "result"),
 
 		configuration: metric.Gauge("believed_configuration_version", "Version of the operators' configuration that is in force here."),
 		revision:      metric.Gauge("believed_revision", "Newest revision of the platform's store that is known here."),
--- a/internal/direct/outage_test.go
+++ b/internal/direct/outage_test.go
@@ -78,12 +78,12 @@
 
 func (s *silentStore) source() provider.FactSource {
 	return provider.FactSource{
-		Snapshot: func(ctx context.Context) (provider.Facts, error) { return s.answer(ctx, 0, 0) },
+		Snapshot: func(ctx context.Context) (provider.FactBatch, error) { return s.answer(ctx, 0, 0) },
 		Changes:  s.answer, Reconnect: s.reconnect,
 	}
 }
 
-func (s *silentStore) answer(ctx context.Context, after fleet.Revision, wait time.Duration) (provider.Facts, error) {
+func (s *silentStore) answer(ctx context.Context, after fleet.Revision, wait time.Duration) (provider.FactBatch, error) {
 	end := time.After(wait)
 	s.mu.Lock()
 	cut := s.cut
@@ -94,19 +94,19 @@
 		s.mu.Unlock()
 		if silent || isClosed(cut) {
 			<-ctx.Done()
-			return provider.Facts{}, provider.ErrUnavailable
+			return provider.FactBatch{}, provider.ErrUnavailable
 		}
 		if at > after {
 			fact := fleet.Fact{Key: fleet.ConfigurationKey(), Revision: at, Configuration: &fleet.Configuration{Version: uint64(at)}}
-			return provider.Facts{Facts: []fleet.Fact{fact}, At: at}, nil
+			return provider.FactBatch{Facts: []fleet.Fact{fact}, Revision: at}, nil
 		}
 		select {
 		case <-cut:
 		case <-changed:
 		case <-end:
-			return provider.Facts{At: after}, nil
+			return provider.FactBatch{Revision: after}, nil
 		case <-ctx.Done():
-			return provider.Facts{}, provider.ErrUnavailable
+			return provider.FactBatch{}, provider.ErrUnavailable
 		}
 	}
 }
--- a/internal/direct/reader.go
+++ b/internal/direct/reader.go
@@ -88,7 +88,7 @@
 	whole bool
 	began time.Time
 	after fleet.Revision
-	got   provider.Facts
+	got   provider.FactBatch
 	err   error
 }
 
@@ -172,7 +172,7 @@
 		case <-ctx.Done():
 			return storeAnswer{}, false
 		case answer = <-answers:
-			if answer.err == nil || errors.Is(answer.err, provider.ErrHistoryGone) {
+			if answer.err == nil || errors.Is(answer.err, provider.ErrCompacted) {
 				return answer, true
 			}
 			waiting--
@@ -237,10 +237,10 @@
 	f, got := r.facts, answer.got
 	f.metrics.storeCalls.WithLabelValues(answer.call, "done").Inc()
 	if answer.whole || len(got.Facts) > 0 {
-		f.log.Info().Str("call", answer.call).Uint64("after", uint64(answer.after)).Uint64("at", uint64(got.At)).Int("facts", len(got.Facts)).
+		f.log.Info().Str("call", answer.call).Uint64("after", uint64(answer.after)).Uint64("at", uint64(got.Revision)).Int("facts", len(got.Facts)).
 			Dur("taken_ms", f.clock.Since(answer.began)).Msg("facts read from the store")
 	}
-	f.noteFindings(got.Findings, answer.whole)
+	f.noteFindings(got.Errors, answer.whole)
 	if answer.whole {
 		got.Facts = append(got.Facts, f.missing(got)...)
 	}
@@ -249,6 +249,6 @@
 		apply = f.ApplyFirst
 	}
 	apply(f.holdLapsed(got.Facts), "store")
-	f.CompleteUpTo(got.At)
-	r.after = max(r.after, got.At)
+	f.CompleteUpTo(got.Revision)
+	r.after = max(r.after, got.Revision)
 }
--- a/internal/direct/rest.go
+++ b/internal/direct/rest.go
@@ -33,10 +33,10 @@
 func resting[T any](k *restKeeper, call func() (T, error)) (T, error) {
 	if left := k.left(); left > 0 {
 		var none T
-		return none, &provider.RestError{For: left}
+		return none, &provider.BackoffError{Delay: left}
 	}
 	answer, err := call()
-	k.note(provider.RestOf(err))
+	k.note(provider.RequestedBackoff(err))
 	return answer, err
 }
 
@@ -60,7 +60,7 @@
 	}
 }
 
-// restingServer is a model server whose calls fail with a RestError while it rests.
+// restingServer is a model server whose calls fail with a BackoffError while it rests.
 func restingServer(server provider.ModelServer, k *restKeeper) provider.ModelServer {
 	without := func(call func() error) error {
 		_, err := resting(k, func() (struct{}, error) { return struct{}{}, call() })
@@ -71,27 +71,27 @@
 		Report: func(ctx context.Context) (fleet.Report, error) {
 			return resting(k, func() (fleet.Report, error) { return server.Report(ctx) })
 		},
-		Start: func(ctx context.Context, order provider.StartOrder) error {
-			return without(func() error { return server.Start(ctx, order) })
+		Load: func(ctx context.Context, order provider.LoadOrder) error {
+			return without(func() error { return server.Load(ctx, order) })
 		},
 		Stage: func(ctx context.Context, model fleet.ModelName, index int, data []byte) error {
 			return without(func() error { return server.Stage(ctx, model, index, data) })
 		},
-		Staged: func(ctx context.Context, model fleet.ModelName, index int) ([]byte, error) {
-			return resting(k, func() ([]byte, error) { return server.Staged(ctx, model, index) })
+		ReadStaged: func(ctx context.Context, model fleet.ModelName, index int) ([]byte, error) {
+			return resting(k, func() ([]byte, error) { return server.ReadStaged(ctx, model, index) })
 		},
 	}
 }
 
-// restingOrigin is an origin whose calls fail with a RestError while it rests. Others draw meanwhile, of whom it has
+// restingOrigin is an origin whose calls fail with a BackoffError while it rests. Others draw meanwhile, of whom it has
 // asked nothing.
-func restingOrigin(origin provider.PieceOrigin, k *restKeeper) provider.PieceOrigin {
-	return provider.PieceOrigin{
+func restingOrigin(origin provider.ChunkOrigin, k *restKeeper) provider.ChunkOrigin {
+	return provider.ChunkOrigin{
 		Manifest: func(ctx context.Context, at member.Address, model fleet.ModelName, version fleet.WeightsVersion) (*weights.Manifest, error) {
 			return resting(k, func() (*weights.Manifest, error) { return origin.Manifest(ctx, at, model, version) })
 		},
-		Piece: func(ctx context.Context, at member.Address, model fleet.ModelName, version fleet.WeightsVersion, index int) ([]byte, error) {
-			return resting(k, func() ([]byte, error) { return origin.Piece(ctx, at, model, version, index) })
+		Chunk: func(ctx context.Context, at member.Address, model fleet.ModelName, version fleet.WeightsVersion, index int) ([]byte, error) {
+			return resting(k, func() ([]byte, error) { return origin.Chunk(ctx, at, model, version, index) })
 		},
 	}
 }
--- a/internal/direct/rest_test.go
+++ b/internal/direct/rest_test.go
@@ -21,21 +21,21 @@
 	server := restingServer(provider.ModelServer{
 		Report: func(context.Context) (fleet.Report, error) {
 			calls++
-			return fleet.Report{}, &provider.RestError{For: asks}
+			return fleet.Report{}, &provider.BackoffError{Delay: asks}
 		},
-		Start:  func(context.Context, provider.StartOrder) error { calls++; return nil },
-		Stage:  func(context.Context, fleet.ModelName, int, []byte) error { calls++; return nil },
-		Staged: func(context.Context, fleet.ModelName, int) ([]byte, error) { calls++; return nil, nil },
+		Load:       func(context.Context, provider.LoadOrder) error { calls++; return nil },
+		Stage:      func(context.Context, fleet.ModelName, int, []byte) error { calls++; return nil },
+		ReadStaged: func(context.Context, fleet.ModelName, int) ([]byte, error) { calls++; return nil, nil },
 	}, &restKeeper{name: "server", clock: clock, log: zerolog.Nop()})
 	ctx := t.Context()
 	_, err := server.Report(ctx)
-	require.Equal(t, 3*time.Second, provider.RestOf(err))
+	require.Equal(t, 3*time.Second, provider.RequestedBackoff(err))
 	clock.Advance(2 * time.Second)
 	_, err = server.Report(ctx)
-	require.Equal(t, time.Second, provider.RestOf(err), "what is left of it")
-	require.Error(t, server.Start(ctx, provider.StartOrder{}))
+	require.Equal(t, time.Second, provider.RequestedBackoff(err), "what is left of it")
+	require.Error(t, server.Load(ctx, provider.LoadOrder{}))
 	require.Error(t, server.Stage(ctx, "m", 0, nil))
-	_, err = server.Staged(ctx, "m", 0)
+	_, err = server.ReadStaged(ctx, "m", 0)
 	require.Error(t, err)
 	require.Equal(t, 1, calls)
 	clock.Advance(time.Second)
@@ -43,24 +43,24 @@
 	_, _ = server.Report(ctx)
 	require.Equal(t, 2, calls)
 	clock.Advance(restLongest)
-	require.NoError(t, server.Start(ctx, provider.StartOrder{}), "no rest is for longer")
+	require.NoError(t, server.Load(ctx, provider.LoadOrder{}), "no rest is for longer")
 }
 
 func TestAnAgentLeavesAnOriginAloneThatWantsRest(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	calls := 0
-	origin := restingOrigin(provider.PieceOrigin{
-		Piece: func(context.Context, member.Address, fleet.ModelName, fleet.WeightsVersion, int) ([]byte, error) {
+	origin := restingOrigin(provider.ChunkOrigin{
+		Chunk: func(context.Context, member.Address, fleet.ModelName, fleet.WeightsVersion, int) ([]byte, error) {
 			calls++
-			return nil, &provider.RestError{For: time.Second}
+			return nil, &provider.BackoffError{Delay: time.Second}
 		},
 	}, &restKeeper{name: "origin", clock: clock, log: zerolog.Nop()})
 	for range 5 {
-		_, err := origin.Piece(t.Context(), "", "m", 1, 0)
+		_, err := origin.Chunk(t.Context(), "", "m", 1, 0)
 		require.Error(t, err)
 	}
 	require.Equal(t, 1, calls)
 	clock.Advance(time.Second)
-	_, _ = origin.Piece(t.Context(), "", "m", 1, 0)
+	_, _ = origin.Chunk(t.Context(), "", "m", 1, 0)
 	require.Equal(t, 2, calls)
 }
--- a/internal/direct/run.go
+++ b/internal/direct/run.go
@@ -206,12 +206,12 @@
 	if service == nil || service.Engine == nil {
 		return 0, 0
 	}
-	tokens := float64(x.AnswerHint)
+	tokens := float64(x.ResponseTokensHint)
 	if tokens == 0 {
 		tokens = service.Engine.TypicalResponseTokens
 	}
-	if x.AnswerTokens > 0 {
-		tokens = min(tokens, float64(x.AnswerTokens))
+	if x.MaxResponseTokens > 0 {
+		tokens = min(tokens, float64(x.MaxResponseTokens))
 	}
 	return service.Engine.PrefillTime(x.PromptTokens), service.Engine.DecodeTime(tokens)
 }
--- a/internal/direct/stream.go
+++ b/internal/direct/stream.go
@@ -87,7 +87,7 @@
 
 // passStream passes events on as they come. A stream that breaks off can go on
 // at another server after the last event that was passed on.
-func (f *Front) passStream(x *exchange, place *route.Reservation, answer *upstream.Answer, guard *guard) (outcome, error) {
+func (f *Front) passStream(x *exchange, place *route.Reservation, answer *upstream.Response, guard *guard) (outcome, error) {
 	reader := &eventReader{source: answer}
 	flush := http.NewResponseController(x.writer)
 	runs := false
--- a/internal/direct/unread_test.go
+++ b/internal/direct/unread_test.go
@@ -114,7 +114,7 @@
 			var log bytes.Buffer
 			clock := clockwork.NewFakeClock()
 			facts := NewFacts(clock, zerolog.New(&log).Level(zerolog.ErrorLevel), NewMetrics())
-			play(t, clock, facts, gives(3, before.Facts...), func() (provider.Facts, error) { return told, nil })
+			play(t, clock, facts, gives(3, before.Facts...), func() (provider.FactBatch, error) { return told, nil })
 			require.EqualValues(t, 4, facts.View().Configuration.Version, configuration)
 			require.Equal(t, admitted, statusOf(t, facts, "/look/1", "Bearer k"), configuration)
 			require.Equal(t, 1, bytes.Count(log.Bytes(), []byte(`entry of the store not taken whole`)), "%q: %s", configuration, log.String())
--- a/internal/direct/versioncopy.go
+++ b/internal/direct/versioncopy.go
@@ -239,7 +239,7 @@
 func (l *Loader) isStaged(ctx context.Context, want *target, manifest *weights.Manifest, index int) bool {
 	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	data, err := l.options.Server.Staged(callCtx, want.model, index)
+	data, err := l.options.Server.ReadStaged(callCtx, want.model, index)
 	return err == nil && manifest.Hash.Sum(data) == manifest.Chunks[index].Digest
 }
 
@@ -252,7 +252,7 @@
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
-		data, err := l.options.Server.Staged(callCtx, want.model, index)
+		data, err := l.options.Server.ReadStaged(callCtx, want.model, index)
 		cancel()
 		if err != nil {
 			if index == 0 {
@@ -293,7 +293,7 @@
 func (l *Loader) order(ctx context.Context, want *target, version fleet.WeightsVersion, serving bool) error {
 	before, _ := l.serverReport()
 	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
-	err := l.options.Server.Start(callCtx, provider.StartOrder{Model: want.model, Version: version, Cut: serving && want.resumable})
+	err := l.options.Server.Load(callCtx, provider.LoadOrder{Model: want.model, Version: version, AbortRunning: serving && want.resumable})
 	cancel()
 	l.options.Metrics.orders.WithLabelValues(resultLabel(err)).Inc()
 	l.options.Log.Info().Str("model", string(want.model)).Uint64("version", uint64(version)).
--- a/internal/direct/versioncopy_test.go
+++ b/internal/direct/versioncopy_test.go
@@ -33,7 +33,7 @@
 	clock := clockwork.NewFakeClock()
 	l := &Loader{
 		options: LoaderOptions{Clock: clock, Log: zerolog.Nop(), Server: provider.ModelServer{
-			Staged: func(_ context.Context, _ fleet.ModelName, index int) ([]byte, error) {
+			ReadStaged: func(_ context.Context, _ fleet.ModelName, index int) ([]byte, error) {
 				reads++
 				return staged(index), nil
 			},
--- a/internal/direct/words_test.go
+++ b/internal/direct/words_test.go
@@ -10,9 +10,9 @@
 
 // visited returns how a server answered a request; ok is false if it did not reach the server.
 func (w *world) visited(server, id string) (leaving bool, restUntil time.Time, ok bool) {
-	for _, visit := range w.servers[server].Visits() {
-		if visit.Request == id {
-			return visit.Leaving, visit.RestUntil, true
+	for _, visit := range w.servers[server].ReceivedRequests() {
+		if visit.RequestID == id {
+			return visit.Leaving, visit.BackoffUntil, true
 		}
 	}
 	return false, time.Time{}, false
@@ -48,12 +48,12 @@
 // asked for is over, and all must be answered with a status: avoids entry-1 plain-1 /look/1 40 200.
 func (w *world) cmdAvoids(args []string) error {
 	rest := time.Time{}
-	for _, visit := range w.servers[args[1]].Visits() {
-		if visit.RestUntil.After(rest) {
-			rest = visit.RestUntil
+	for _, visit := range w.servers[args[1]].ReceivedRequests() {
+		if visit.BackoffUntil.After(rest) {
+			rest = visit.BackoffUntil
 		}
 	}
-	before, reached := len(w.servers[args[1]].Visits()), 0
+	before, reached := len(w.servers[args[1]].ReceivedRequests()), 0
 	count, want := number(args[3], 0), number(args[4], http.StatusOK)
 	for i := range count {
 		status, err := w.status(args[0], fmt.Sprintf("avoids-%s-%d-%d", args[1], before, i), args[2])
@@ -64,7 +64,7 @@
 			return fmt.Errorf("request %d: status %d, want %d", i, status, want)
 		}
 	}
-	for _, visit := range w.servers[args[1]].Visits()[before:] {
+	for _, visit := range w.servers[args[1]].ReceivedRequests()[before:] {
 		if rest.IsZero() || visit.At.Before(rest) {
 			reached++
 		}
--- a/internal/direct/world_test.go
+++ b/internal/direct/world_test.go
@@ -129,7 +129,7 @@
 	}
 	w.restarts.Wait()
 	for _, s := range w.servers {
-		_ = s.host.End()
+		_ = s.host.Kill()
 	}
 }
 
@@ -154,8 +154,8 @@
 		version = 1
 	}
 	s.Server = standin.NewServer(standin.ServerOptions{
-		ID: s.id, Model: model, Version: version, Pieces: pieces, Digest: w.origin.Digest,
-		Events: events, EventTime: eventTime, LoadTime: 50 * time.Millisecond,
+		ID: s.id, Model: model, Version: version, Chunks: pieces, Digest: w.origin.Digest,
+		Events: events, EventInterval: eventTime, LoadTime: 50 * time.Millisecond,
 	})
 	var err error
 	if s.host, err = standin.NewHost(address, s); err != nil {
@@ -175,7 +175,7 @@
 		}
 	}
 	engine := map[string]any{
-		"Slots": 4, "Models": []map[string]any{{"Name": "daka", "WarmupS": 0.05}}, "layers": standin.Layers,
+		"Slots": 4, "Models": []map[string]any{{"Name": "daka", "WarmupS": 0.05}}, "layers": standin.LayerCount,
 		"chunks": pieces, "chunk_bytes": pieceSize, "step_ms": 7.0, "read_per_s": 30000.0, "stride": 6,
 	}
 	document := map[string]any{
@@ -221,7 +221,7 @@
 		Listen: settings.Listen{Peers: fmt.Sprintf("%s:%d", ip, peersPort), Metrics: fmt.Sprintf("%s:%d", ip, portMetrics)},
 		Peers:  settings.Peers{Entries: w.entries},
 		Direct: settings.Direct{
-			Store: w.storeAt, AgentPort: portAgents, MemoryMegabytes: 64, LinkMbps: 100, RetryExtra: new(retryExtra),
+			Store: w.storeAt, AgentPort: portAgents, MemoryLimitMegabytes: 64, LinkMbps: 100, RetryExtra: new(retryExtra),
 			Domains: map[string]string{"hall-a": "riga"},
 		},
 		Stop: settings.Stop{Grace: settings.Duration(6 * time.Second)},
@@ -314,15 +314,15 @@
 // it wants to be left alone for, as it writes it).
 func (w *world) cmdServer(args []string) error {
 	s, given := w.servers[args[0]], options(args[1:])
-	s.CutAt(number(given["cut"], 0))
-	s.Fail(number(given["status"], 0))
+	s.TruncateStreamAt(number(given["cut"], 0))
+	s.SetErrorStatus(number(given["status"], 0))
 	_, mute := given["mute"]
-	s.Mute(mute)
+	s.SetUnresponsive(mute)
 	if _, leaving := given["leaving"]; leaving {
-		s.Leave(true)
+		s.SetLeaving(true)
 	}
-	s.Rest(given["rest"])
-	s.Limit(given["limit"])
+	s.SetRetryAfter(given["rest"])
+	s.SetRateLimit(given["limit"])
 	if _, dead := given["dead"]; dead {
 		return s.host.StopListening()
 	}
@@ -332,7 +332,7 @@
 		// Its entry tells of the start before until the server writes again, as it may not
 		// for a while.
 		s.Restart(s.id)
-		s.Hold(uint64(number(given["version"], 0)))
+		s.SetVersion(uint64(number(given["version"], 0)))
 	default:
 		w.store.Remove("servers/" + s.id)
 		s.id = id
@@ -362,7 +362,7 @@
 	if most := number(given["most"], 0); most > 0 && w.origin.Sent() > most {
 		return fmt.Errorf("the origin sent %d pieces, want at most %d", w.origin.Sent(), most)
 	}
-	w.origin.Spoil(number(given["spoil"], 0))
+	w.origin.CorruptNext(number(given["spoil"], 0))
 	return nil
 }
 
@@ -564,7 +564,7 @@
 // cmdSound checks that no server was sent what it never should be.
 func (w *world) cmdSound([]string) error {
 	for name, s := range w.servers {
-		if findings := s.Findings(); len(findings) > 0 {
+		if findings := s.Violations(); len(findings) > 0 {
 			return fmt.Errorf("%s: %v", name, findings)
 		}
 	}
--- a/internal/lab/box.go
+++ b/internal/lab/box.go
@@ -100,7 +100,7 @@
 	if now.Sub(b.far.at) >= b.world.deployment.FarTellInterval {
 		b.far.tell(b, true, load, demand, now)
 	}
-	b.world.After(b.world.deployment.TellInterval, func() { b.tell(life) })
+	b.world.AfterFunc(b.world.deployment.TellInterval, func() { b.tell(life) })
 }
 
 // tellDelay is how long tellSoon waits, to batch requests.
@@ -112,7 +112,7 @@
 		return
 	}
 	b.tellPending = true
-	b.world.After(tellDelay, func() {
+	b.world.AfterFunc(tellDelay, func() {
 		b.tellPending = false
 		if b.life == life {
 			load, demand := b.dispatcher.OwnLoad(), b.dispatcher.Demand(b.world.Now())
@@ -125,7 +125,7 @@
 // hear takes what another box tells, a little later.
 func (b *box) hear(from *box, load route.Load, demand route.Demand) {
 	life, fromLife := b.life, from.life
-	b.world.After(b.world.delay(from.region, b.region), func() {
+	b.world.AfterFunc(b.world.delay(from.region, b.region), func() {
 		if b.life == life && from.life == fromLife && !b.cutOff && !from.cutOff {
 			b.dispatcher.UpdatePeerDemand(from.id, demand, b.world.Now())
 			b.dispatcher.UpdatePeerLoad(from.id, load, true, b.world.Now())
@@ -176,7 +176,7 @@
 
 // later runs something at the box after a time, if the request lives.
 func (r *request) later(wait time.Duration, run func()) {
-	r.box.world.After(wait, func() {
+	r.box.world.AfterFunc(wait, func() {
 		if r.box.life == r.life && !r.ended {
 			run()
 		}
--- a/internal/lab/caller.go
+++ b/internal/lab/caller.go
@@ -55,7 +55,7 @@
 		return
 	}
 	if c.tries == 0 {
-		c.world.After(c.kind.Deadline, func() {
+		c.world.AfterFunc(c.kind.Deadline, func() {
 			if !c.done {
 				c.leave()
 			}
@@ -68,14 +68,14 @@
 		}
 	}
 	if len(near) == 0 {
-		c.world.After(connectRetry, c.send)
+		c.world.AfterFunc(connectRetry, c.send)
 		return
 	}
 	b := near[c.world.random.IntN(len(near))]
 	c.tries++
 	c.sent = c.world.Now()
 	life := b.life
-	c.world.After(c.world.deployment.CallerDelay, func() {
+	c.world.AfterFunc(c.world.deployment.CallerDelay, func() {
 		if c.done {
 			return
 		}
@@ -91,7 +91,7 @@
 
 // watchBox notices when the entry box has been killed.
 func (c *caller) watchBox(r *request) {
-	c.world.After(connectRetry, func() {
+	c.world.AfterFunc(connectRetry, func() {
 		switch {
 		case c.done || c.request != r || r.ended:
 		case r.box.life != r.life:
@@ -108,7 +108,7 @@
 	if c.last.After(since) {
 		since = c.last
 	}
-	c.world.After(since.Add(c.kind.Patience).Sub(c.world.Now()), func() {
+	c.world.AfterFunc(since.Add(c.kind.Patience).Sub(c.world.Now()), func() {
 		if c.done || c.request != r || r.ended {
 			return
 		}
@@ -156,7 +156,7 @@
 		c.end(OutcomeRefused)
 		return
 	}
-	c.world.After(min(wait, c.remaining()/retryPart), c.send)
+	c.world.AfterFunc(min(wait, c.remaining()/retryPart), c.send)
 }
 
 // broken comes back after an answer that broke off.
@@ -186,7 +186,7 @@
 // leave gives up.
 func (c *caller) leave() {
 	if r := c.request; r != nil {
-		c.world.After(c.world.deployment.CallerDelay, r.drop)
+		c.world.AfterFunc(c.world.deployment.CallerDelay, r.drop)
 	}
 	c.end(OutcomeFailed)
 }
--- a/internal/lab/engine.go
+++ b/internal/lab/engine.go
@@ -108,7 +108,7 @@
 		taken += time.Duration(e.Stride) * (e.Step + time.Duration(writers)*e.StepPerRequest)
 	}
 	life := e.life
-	e.line.After(time.Duration(float64(taken)*e.slow), func() {
+	e.line.AfterFunc(time.Duration(float64(taken)*e.slow), func() {
 		if life == e.life {
 			e.passed()
 			e.pass()
@@ -180,7 +180,7 @@
 	case j.untold < 0:
 		j.unwritten--
 		j.untold = 0
-		e.line.After(e.First, func() { j.tell() })
+		e.line.AfterFunc(e.First, func() { j.tell() })
 	case j.unread == 0:
 		tokens := min(e.Stride, j.unwritten)
 		j.unwritten -= tokens
--- a/internal/lab/limit.go
+++ b/internal/lab/limit.go
@@ -79,7 +79,7 @@
 	}
 	for _, other := range b.mates {
 		life := other.life
-		b.world.After(b.world.deployment.TellInterval+b.world.delay(b.region, other.region), func() {
+		b.world.AfterFunc(b.world.deployment.TellInterval+b.world.delay(b.region, other.region), func() {
 			if other.life == life && other.up && !b.cutOff && !other.cutOff {
 				other.learnLimit(e.id, limit)
 			}
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -143,7 +143,7 @@
 // tellStates tells the entry boxes of its cell of a server now and then.
 func (w *world) tellStates(e *engine) {
 	w.tellState(e)
-	w.After(stateInterval, func() { w.tellStates(e) })
+	w.AfterFunc(stateInterval, func() { w.tellStates(e) })
 }
 
 // tellState tells the entry boxes of its cell of a server.
@@ -155,7 +155,7 @@
 		Version: weightsVersion, Swapping: !e.open, Running: len(e.running), Waiting: len(e.queue), Slowdown: e.slow,
 	}
 	for _, b := range e.boxes {
-		w.After(w.delay(e.region, b.region), func() {
+		w.AfterFunc(w.delay(e.region, b.region), func() {
 			if b.up {
 				b.dispatcher.UpdateServer(e.id, state, w.Now())
 			}
@@ -184,7 +184,7 @@
 	// effect at once.
 	const highest = 4.0
 	wait := w.random.ExpFloat64() / (rate * highest)
-	w.After(time.Duration(wait*float64(time.Second)), func() {
+	w.AfterFunc(time.Duration(wait*float64(time.Second)), func() {
 		if w.Elapsed() >= w.deployment.Length {
 			return
 		}
@@ -213,31 +213,31 @@
 	case FaultServersSlow:
 		w.each(f, w.struck(len(w.servers), f.Share), func(i int) {
 			w.servers[i].slow = f.Factor
-			w.After(f.Down, func() { w.servers[i].slow = 1 })
+			w.AfterFunc(f.Down, func() { w.servers[i].slow = 1 })
 		})
 	case FaultServersRest:
 		w.each(f, w.struck(len(w.servers), f.Share), func(i int) {
 			w.servers[i].turnsAway, w.servers[i].rest = true, f.Rest
-			w.After(f.Down, func() { w.servers[i].turnsAway = false })
+			w.AfterFunc(f.Down, func() { w.servers[i].turnsAway = false })
 		})
 	case FaultServersLimited:
 		w.each(f, w.struck(len(w.servers), f.Share), func(i int) {
 			w.servers[i].setLimit(f.Limit)
-			w.After(f.Down, func() { w.servers[i].clearLimit(w.result) })
+			w.AfterFunc(f.Down, func() { w.servers[i].clearLimit(w.result) })
 		})
 	case FaultBoxesDown:
 		w.each(f, w.struck(len(w.boxes), f.Share), func(i int) {
 			w.boxes[i].kill()
-			w.After(f.Down, w.boxes[i].start)
+			w.AfterFunc(f.Down, w.boxes[i].start)
 		})
 	case FaultBoxesCut:
 		w.each(f, w.struck(len(w.boxes), f.Share), func(i int) {
 			w.boxes[i].cutOff, w.boxes[i].struck = true, true
-			w.After(f.Down, func() { w.boxes[i].cutOff = false })
+			w.AfterFunc(f.Down, func() { w.boxes[i].cutOff = false })
 		})
 	case FaultBurst:
-		w.After(f.At, func() { w.burst *= f.Factor })
-		w.After(f.At+f.Down, func() { w.burst /= f.Factor })
+		w.AfterFunc(f.At, func() { w.burst *= f.Factor })
+		w.AfterFunc(f.At+f.Down, func() { w.burst /= f.Factor })
 	}
 }
 
@@ -248,7 +248,7 @@
 
 func (w *world) each(f *Fault, struck []int, strike func(i int)) {
 	for place, i := range struck {
-		w.After(f.At+f.Over*time.Duration(place)/time.Duration(len(struck)), func() { strike(i) })
+		w.AfterFunc(f.At+f.Over*time.Duration(place)/time.Duration(len(struck)), func() { strike(i) })
 	}
 }
 
@@ -260,8 +260,8 @@
 func (w *world) swap(e *engine, down time.Duration) {
 	e.open = false
 	w.tellState(e)
-	w.After(swapNotice, e.stop)
-	w.After(swapNotice+down, func() {
+	w.AfterFunc(swapNotice, e.stop)
+	w.AfterFunc(swapNotice+down, func() {
 		e.open = true
 		w.tellState(e)
 	})
@@ -272,13 +272,13 @@
 	e.up = false
 	e.stop()
 	for _, b := range e.boxes {
-		w.After(w.delay(e.region, b.region), func() {
+		w.AfterFunc(w.delay(e.region, b.region), func() {
 			if b.up {
 				b.dispatcher.UpdateServer(e.id, route.ServerState{}, w.Now())
 			}
 		})
 	}
-	w.After(down, func() {
+	w.AfterFunc(down, func() {
 		e.up = true
 		w.tellState(e)
 	})
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -16,13 +16,13 @@
 	return prometheus.NewCounter(prometheus.CounterOpts{Namespace: Namespace, Name: name, Help: help})
 }
 
-// Counters returns counters with labels.
-func Counters(name, help string, labels ...string) *prometheus.CounterVec {
+// CounterVec returns counters with labels.
+func CounterVec(name, help string, labels ...string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: Namespace, Name: name, Help: help}, labels)
 }
 
-// Histograms returns histograms with labels. Buckets are their upper bounds.
-func Histograms(name, help string, buckets []float64, labels ...string) *prometheus.HistogramVec {
+// HistogramVec returns histograms with labels. Buckets are their upper bounds.
+func HistogramVec(name, help string, buckets []float64, labels ...string) *prometheus.HistogramVec {
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: Namespace, Name: name, Help: help, Buckets: buckets,
 	}, labels)
@@ -33,7 +33,7 @@
 	return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: Namespace, Name: name, Help: help})
 }
 
-// Gauges returns gauges with labels.
-func Gauges(name, help string, labels ...string) *prometheus.GaugeVec {
+// GaugeVec returns gauges with labels.
+func GaugeVec(name, help string, labels ...string) *prometheus.GaugeVec {
 	return prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: Namespace, Name: name, Help: help}, labels)
 }
--- a/internal/provider/boxlist.go
+++ b/internal/provider/boxlist.go
@@ -24,7 +24,7 @@
 	Role          member.Role
 	Region        member.Region
 	FailureDomain member.FailureDomain
-	Peers         member.Address
+	PeerAddress   member.Address
 	State         ListedState
 }
 
@@ -76,7 +76,7 @@
 			Role:          member.Role(group.Labels[LabelRole]),
 			Region:        member.Region(group.Labels[LabelRegion]),
 			FailureDomain: member.FailureDomain(group.Labels[LabelFailureDomain]),
-			Peers:         member.Address(group.Targets[0]),
+			PeerAddress:   member.Address(group.Targets[0]),
 			State:         ListedState(group.Labels[LabelState]),
 		})
 	}
--- a/internal/provider/engine.go
+++ b/internal/provider/engine.go
@@ -29,9 +29,9 @@
 	OrderUnload OrderKind = "unload"
 )
 
-// Fence orders the orders; an engine refuses one that is lower than the highest
+// FencingToken orders the orders; an engine refuses one that is lower than the highest
 // it has seen.
-type Fence struct {
+type FencingToken struct {
 	Epoch    uint64 `json:"epoch"`
 	Sequence uint64 `json:"sequence"`
 }
@@ -43,9 +43,9 @@
 	Version  table.ModelVersion `json:"version"`
 	Manifest weights.Digest     `json:"manifest"`
 	// Chunks and Whole describe what must have been staged for a load.
-	Chunks int            `json:"chunks,omitempty"`
-	Whole  weights.Digest `json:"whole,omitzero"`
-	Fence  Fence          `json:"fence"`
+	Chunks      int            `json:"chunks,omitempty"`
+	WholeDigest weights.Digest `json:"whole,omitzero"`
+	Fence       FencingToken   `json:"fence"`
 }
 
 // LoadedVersion is one version that an engine has in its memory.
--- a/internal/provider/keyvalue.go
+++ b/internal/provider/keyvalue.go
@@ -46,18 +46,18 @@
 
 // KeyValueEntry is the value of one key. Revision is 0 if the key is absent.
 type KeyValueEntry struct {
-	Value    []byte
-	Revision Revision
-	Created  Revision
+	Value          []byte
+	Revision       Revision
+	CreateRevision Revision
 }
 
 // KeyValue is the platform's key-value service.
 type KeyValue struct {
 	// Get reads a key. Errors wrap ErrUnavailable.
 	Get func(ctx context.Context, key string) (KeyValueEntry, error)
-	// Swap writes a key if its revision is still the expected one, with the
+	// CompareAndSwap writes a key if its revision is still the expected one, with the
 	// lease if one is given. Errors wrap ErrUncertain.
-	Swap func(ctx context.Context, key string, value []byte, expected Revision, lease LeaseID) (Revision, bool, error)
+	CompareAndSwap func(ctx context.Context, key string, value []byte, expected Revision, lease LeaseID) (Revision, bool, error)
 	// Grant opens a lease.
 	Grant func(ctx context.Context, ttl time.Duration) (LeaseID, error)
 	// KeepAlive renews a lease. Errors wrap ErrLeaseLost or ErrUnavailable.
@@ -72,7 +72,7 @@
 func NewKeyValue(base string, client *http.Client) KeyValue {
 	kv := &etcdClient{base: base, client: client}
 	return KeyValue{
-		Get: kv.get, Swap: kv.swap, Grant: kv.grant,
+		Get: kv.get, CompareAndSwap: kv.compareAndSwap, Grant: kv.grant,
 		KeepAlive: kv.keepAlive, Revoke: kv.revoke, Watch: kv.watch,
 	}
 }
@@ -97,7 +97,7 @@
 	etcdRange struct {
 		Key []byte `json:"key"`
 	}
-	etcdRangeAnswer struct {
+	etcdRangeResponse struct {
 		Pairs []etcdPair `json:"kvs"`
 	}
 	etcdCompare struct {
@@ -118,7 +118,7 @@
 		Compare []etcdCompare   `json:"compare"`
 		Success []etcdOperation `json:"success"`
 	}
-	etcdTxnAnswer struct {
+	etcdTxnResponse struct {
 		Header    etcdHeader `json:"header"`
 		Succeeded bool       `json:"succeeded"`
 	}
@@ -126,7 +126,7 @@
 		ID  int64 `json:"ID,string"`
 		TTL int64 `json:"TTL,string"`
 	}
-	etcdKeepAliveAnswer struct {
+	etcdKeepAliveResponse struct {
 		Result etcdLease `json:"result"`
 	}
 	etcdWatch struct {
@@ -136,7 +136,7 @@
 		Key           []byte `json:"key"`
 		StartRevision int64  `json:"start_revision,string"`
 	}
-	etcdWatchAnswer struct {
+	etcdWatchResponse struct {
 		Result struct {
 			Canceled bool              `json:"canceled"`
 			Events   []json.RawMessage `json:"events"`
@@ -178,7 +178,7 @@
 }
 
 func (c *etcdClient) get(ctx context.Context, key string) (KeyValueEntry, error) {
-	var answer etcdRangeAnswer
+	var answer etcdRangeResponse
 	if err := c.call(ctx, "/v3/kv/range", etcdRange{Key: []byte(key)}, &answer); err != nil {
 		return KeyValueEntry{}, err
 	}
@@ -187,16 +187,16 @@
 	}
 	pair := answer.Pairs[0]
 	return KeyValueEntry{
-		Value: pair.Value, Revision: Revision(pair.ModRevision), Created: Revision(pair.CreateRevision),
+		Value: pair.Value, Revision: Revision(pair.ModRevision), CreateRevision: Revision(pair.CreateRevision),
 	}, nil
 }
 
-func (c *etcdClient) swap(ctx context.Context, key string, value []byte, expected Revision, lease LeaseID) (Revision, bool, error) {
+func (c *etcdClient) compareAndSwap(ctx context.Context, key string, value []byte, expected Revision, lease LeaseID) (Revision, bool, error) {
 	message := etcdTxn{
 		Compare: []etcdCompare{{Result: "EQUAL", Target: "MOD", Key: []byte(key), ModRevision: int64(expected)}},
 		Success: []etcdOperation{{Put: &etcdPut{Key: []byte(key), Value: value, Lease: int64(lease)}}},
 	}
-	var answer etcdTxnAnswer
+	var answer etcdTxnResponse
 	if err := c.call(ctx, "/v3/kv/txn", message, &answer); err != nil {
 		return 0, false, fmt.Errorf("%w: %w", ErrUncertain, err)
 	}
@@ -210,7 +210,7 @@
 }
 
 func (c *etcdClient) keepAlive(ctx context.Context, lease LeaseID) error {
-	var answer etcdKeepAliveAnswer
+	var answer etcdKeepAliveResponse
 	if err := c.call(ctx, "/v3/lease/keepalive", etcdLease{ID: int64(lease)}, &answer); err != nil {
 		return err
 	}
@@ -234,7 +234,7 @@
 	defer func() { _ = body.Close() }()
 	decoder := json.NewDecoder(body)
 	for {
-		var answer etcdWatchAnswer
+		var answer etcdWatchResponse
 		if err := decoder.Decode(&answer); err != nil {
 			return fmt.Errorf("reading watch: %w: %w", ErrUnavailable, err)
 		}
--- a/internal/provider/weights.go
+++ b/internal/provider/weights.go
@@ -18,8 +18,8 @@
 // ErrNotPublished reports a model or version that the source does not have.
 var ErrNotPublished = errors.New("not published")
 
-// ErrLimited reports that the source asks to come back later.
-var ErrLimited = errors.New("source limits its rate")
+// ErrRateLimited reports that the source asks to come back later.
+var ErrRateLimited = errors.New("source limits its rate")
 
 // manifestLimit bounds the bytes of a chunk manifest.
 const manifestLimit = 64 << 20
@@ -32,7 +32,7 @@
 	Versions func(ctx context.Context, model table.Model) ([]table.ModelVersion, error)
 	// Manifest reads the chunk manifest of a version.
 	Manifest func(ctx context.Context, model table.Model, version table.ModelVersion) ([]byte, error)
-	// Range reads size bytes of a blob from offset. Errors wrap ErrLimited,
+	// Range reads size bytes of a blob from offset. Errors wrap ErrRateLimited,
 	// ErrNotPublished or ErrUnavailable.
 	Range func(ctx context.Context, model table.Model, blob string, offset, size int64) ([]byte, error)
 }
@@ -100,7 +100,7 @@
 	case http.StatusNotFound:
 		return ErrNotPublished
 	case http.StatusTooManyRequests:
-		return ErrLimited
+		return ErrRateLimited
 	}
 	return fmt.Errorf("status %d: %w", status, ErrUnavailable)
 }
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -117,7 +117,7 @@
 	r.meet()
 	r.breakSome()
 	for i, b := range r.boxes {
-		r.After(pollTime*time.Duration(i)/time.Duration(len(r.boxes)), func() { r.poll(b) })
+		r.AfterFunc(pollTime*time.Duration(i)/time.Duration(len(r.boxes)), func() { r.poll(b) })
 	}
 	limit := time.Duration(options.Boxes+10) * copyTime
 	for r.left > 0 && r.Step(limit) {
@@ -182,19 +182,19 @@
 		at := time.Duration(r.random.Float64() * float64(copyTime))
 		switch chance := r.random.Float64(); {
 		case chance < r.options.Dying:
-			r.After(at, func() {
+			r.AfterFunc(at, func() {
 				b.dead = true
 				if b.done == 0 {
 					r.left--
 				}
 			})
 		case chance < r.options.Dying+r.options.Stalling:
-			r.After(at, func() { b.stalled = true })
+			r.AfterFunc(at, func() { b.stalled = true })
 		}
 	}
 	if r.options.Dying > 0 {
 		for at := silenceTime; at < copyTime+2*silenceTime; at += silenceTime {
-			r.After(at, r.meet)
+			r.AfterFunc(at, r.meet)
 		}
 	}
 }
@@ -213,7 +213,7 @@
 		b.picker.SetHoldings(name, append(weights.Bits(nil), held...))
 	}
 	r.fetch(b)
-	r.After(pollTime, func() { r.poll(b) })
+	r.AfterFunc(pollTime, func() { r.poll(b) })
 }
 
 func (r *run) fetch(b *box) {
@@ -231,16 +231,16 @@
 	from := r.byName[task.From]
 	switch {
 	case from != nil && from.dead:
-		r.After(refusedTime, func() { r.failed(b, task) })
+		r.AfterFunc(refusedTime, func() { r.failed(b, task) })
 	case from != nil && from.stalled:
-		r.After(stallTime, func() { r.failed(b, task) })
+		r.AfterFunc(stallTime, func() { r.failed(b, task) })
 	default:
 		up := &r.source
 		if from != nil {
 			up = &from.up
 		}
-		r.After(r.send(up), func() {
-			r.After(r.receive(&b.down), func() { r.arrived(b, from, task) })
+		r.AfterFunc(r.send(up), func() {
+			r.AfterFunc(r.receive(&b.down), func() { r.arrived(b, from, task) })
 		})
 	}
 }
@@ -270,7 +270,7 @@
 	case b.dead:
 		return
 	case from != nil && (from.dead || from.stalled):
-		r.After(stallTime, func() { r.failed(b, task) })
+		r.AfterFunc(stallTime, func() { r.failed(b, task) })
 		return
 	case from == nil:
 		r.sent++
--- a/internal/scenario/callers_test.go
+++ b/internal/scenario/callers_test.go
@@ -336,12 +336,12 @@
 func ran(w *world, ts *testscript.TestScript, args []string) {
 	counts := make(map[string]int)
 	for _, engine := range w.engines {
-		for id, count := range engine.Started() {
+		for id, count := range engine.Runs() {
 			counts[id] += count
 		}
 	}
 	for _, plain := range w.plains {
-		for id, count := range plain.Ran() {
+		for id, count := range plain.Runs() {
 			counts[id] += count
 		}
 	}
@@ -363,7 +363,7 @@
 func killRunner(w *world, ts *testscript.TestScript, args []string) {
 	options(ts, args, 1)
 	for name, plain := range w.plains {
-		if plain.Ran()[args[0]] > 0 {
+		if plain.Runs()[args[0]] > 0 {
 			kill(w, ts, []string{name})
 			return
 		}
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -43,7 +43,7 @@
 	processes map[string]*process
 	order     []string
 	engines   map[string]*standin.Engine
-	plains    map[string]*standin.Plain
+	plains    map[string]*standin.PlainService
 	// plainServices holds the names of the plain services.
 	plainServices map[string]bool
 
@@ -66,7 +66,7 @@
 		kv:       standin.NewKeyValue(clock), origin: standin.NewRegistry(clock, originRate),
 		store: standin.NewRegistry(clock, originRate), list: standin.NewBoxList(clock, time.Second),
 		urls: make(map[string]string), processes: make(map[string]*process),
-		engines: make(map[string]*standin.Engine), plains: make(map[string]*standin.Plain),
+		engines: make(map[string]*standin.Engine), plains: make(map[string]*standin.PlainService),
 		plainServices: make(map[string]bool),
 		loops:         make(map[string]*loop), singles: make(map[string]*single),
 	}
@@ -243,7 +243,7 @@
 	case len(args) == 2 && args[0] == "sent-at-most":
 		limit, err := strconv.ParseInt(args[1], 10, 64)
 		ts.Check(err)
-		if sent := w.origin.Sent() + w.store.Sent(); sent > limit {
+		if sent := w.origin.BytesSent() + w.store.BytesSent(); sent > limit {
 			ts.Fatalf("origin and weight store sent %d bytes, want at most %d", sent, limit)
 		}
 	default:
@@ -274,7 +274,7 @@
 				return standin.Fault{}
 			}
 			left--
-			return standin.Fault{LoseAnswer: true}
+			return standin.Fault{DropResponse: true}
 		})
 	default:
 		ts.Fatalf("kv: unexpected %v", args)
@@ -304,7 +304,7 @@
 	}
 	w.list.Set(provider.ListedBox{
 		Box: member.BoxID(name), Role: role, Region: "kita", FailureDomain: "kita-a",
-		Peers: member.Address(p.peers), State: state,
+		PeerAddress: member.Address(p.peers), State: state,
 	})
 }
 
@@ -378,7 +378,7 @@
 	given := options(ts, args, 2, "models", "slots", "plain", "token-time", "region")
 	config := w.common("agent", args[0], args[1], given["region"])
 	if given["models"] != "" {
-		engine := standin.EngineOptions{Slots: 2, LoadTime: 20 * time.Millisecond, TokenTime: 2 * time.Millisecond, Tokens: 10}
+		engine := standin.EngineOptions{Slots: 2, LoadTime: 20 * time.Millisecond, TokenInterval: 2 * time.Millisecond, Tokens: 10}
 		if given["slots"] != "" {
 			slots, err := strconv.Atoi(given["slots"])
 			ts.Check(err)
@@ -387,7 +387,7 @@
 		if given["token-time"] != "" {
 			duration, err := time.ParseDuration(given["token-time"])
 			ts.Check(err)
-			engine.TokenTime = duration
+			engine.TokenInterval = duration
 		}
 		w.engines[args[0]] = standin.NewEngine(w.clock, engine)
 		url, err := w.serve(w.engines[args[0]])
@@ -397,7 +397,7 @@
 	}
 	if given["plain"] != "" {
 		w.plainServices[given["plain"]] = true
-		w.plains[args[0]] = standin.NewPlain(w.clock)
+		w.plains[args[0]] = standin.NewPlainService(w.clock)
 		url, err := w.serve(w.plains[args[0]])
 		ts.Check(err)
 		config += fmt.Sprintf("\n[[agent.services]]\nname = %q\nurl = %q\n", given["plain"], url)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 )
 
-var nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
 // checker collects findings; their places are added by the caller.
 type checker struct {
@@ -52,7 +52,7 @@
 }
 
 func (c *checker) name(key, value string) {
-	if !nameForm.MatchString(value) {
+	if !namePattern.MatchString(value) {
 		c.add(key, "want 1 to 63 letters, digits, '.', '_' or '-', got %q", value)
 	}
 }
@@ -113,7 +113,7 @@
 func (c *checker) common() {
 	s := c.settings
 	c.duration("peers.heartbeat", s.Peers.Heartbeat, 100*time.Millisecond, 10*time.Second)
-	c.duration("peers.silence", s.Peers.Silence, 2*time.Duration(s.Peers.Heartbeat), time.Minute)
+	c.duration("peers.silence", s.Peers.SilenceTimeout, 2*time.Duration(s.Peers.Heartbeat), time.Minute)
 	c.duration("stop.grace", s.Stop.Grace, time.Second, time.Hour)
 	if _, err := zerolog.ParseLevel(s.Log.Level); err != nil {
 		c.add("log.level", "want debug, info, warn or error, got %q", s.Log.Level)
@@ -122,7 +122,7 @@
 		c.add("weights.prefer", "want %q or %q, got %q", PreferFewestBytes, PreferSoonestLive, s.Weights.Prefer)
 	}
 	c.number("weights.memory_limit_bytes", s.Weights.MemoryLimit, 1<<20, 1<<50)
-	c.duration("weights.draw_wait", s.Weights.DrawWait, 50*time.Millisecond, time.Minute)
+	c.duration("weights.draw_wait", s.Weights.OriginFetchWait, 50*time.Millisecond, time.Minute)
 	c.url("platform.weight_store", s.Platform.WeightStore)
 	c.url("platform.origin", s.Platform.Origin)
 }
@@ -132,9 +132,9 @@
 	c.address("listen.callers", s.Listen.Callers)
 	c.url("platform.key_value", s.Platform.KeyValue)
 	c.url("platform.box_list", s.Platform.BoxList)
-	c.number("requests.places_per_replica", int64(s.Requests.PlacesPerReplica), 1, 1<<20)
+	c.number("requests.places_per_replica", int64(s.Requests.SlotsPerReplica), 1, 1<<20)
 	c.number("requests.queue_per_group", int64(s.Requests.QueuePerGroup), 1, 1<<20)
-	c.number("requests.retry_body_limit_bytes", s.Requests.BodyLimit, 0, 1<<30)
+	c.number("requests.retry_body_limit_bytes", s.Requests.RetryBodyLimit, 0, 1<<30)
 	c.duration("requests.deadline", s.Requests.Deadline, time.Millisecond, 24*time.Hour)
 	c.duration("requests.entries_ttl", s.Requests.EntriesTTL, time.Second, time.Hour)
 }
--- a/internal/settings/direct.go
+++ b/internal/settings/direct.go
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 )
 
-// portLimit is the highest port.
-const portLimit = 1<<16 - 1
+// maxPort is the highest port.
+const maxPort = 1<<16 - 1
 
 // direct checks the settings of direct mode.
 func (c *checker) direct() {
@@ -19,9 +19,9 @@
 	c.address("listen.peers", s.Listen.Peers)
 	c.address("listen.metrics", s.Listen.Metrics)
 	c.address("direct.store", s.Direct.Store)
-	c.number("direct.agent_port", int64(s.Direct.AgentPort), 1, portLimit)
-	if s.Direct.MemoryMegabytes < 1 {
-		c.add("direct.memory_limit_megabytes", "want at least 1, got %v", s.Direct.MemoryMegabytes)
+	c.number("direct.agent_port", int64(s.Direct.AgentPort), 1, maxPort)
+	if s.Direct.MemoryLimitMegabytes < 1 {
+		c.add("direct.memory_limit_megabytes", "want at least 1, got %v", s.Direct.MemoryLimitMegabytes)
 	}
 	if s.Direct.LinkMbps <= 0 {
 		c.add("direct.link_mbps", "want the rate of the box's link in Mbit/s, got %v", s.Direct.LinkMbps)
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -55,7 +55,7 @@
 
 // Parse is Load for content already read.
 func Parse(name string, content []byte) (*Settings, Findings) {
-	places, findings := locate(name, content)
+	places, findings := keyPositions(name, content)
 	if len(findings) > 0 {
 		return nil, findings
 	}
@@ -77,8 +77,8 @@
 	return loaded, findings
 }
 
-// decodeLimit bounds how many findings of one file are collected.
-const decodeLimit = 100
+// maxDecodeErrors bounds how many findings of one file are collected.
+const maxDecodeErrors = 100
 
 // decode collects every unknown key and every value of a wrong type. The decoder
 // stops at the first wrong value, so the line of that value is blanked and the
@@ -86,7 +86,7 @@
 func decode(name string, content []byte) (*Settings, Findings) {
 	var findings Findings
 	text := string(content)
-	for range decodeLimit {
+	for range maxDecodeErrors {
 		loaded := &Settings{}
 		loaded.Default()
 		decoder := toml.NewDecoder(strings.NewReader(text))
@@ -99,14 +99,14 @@
 			return loaded, findings
 		case errors.As(err, &unknown):
 			for i := range unknown.Errors {
-				findings = append(findings, finding(name, &unknown.Errors[i], "unknown key"))
+				findings = append(findings, decodeFinding(name, &unknown.Errors[i], "unknown key"))
 			}
 			if err := toml.Unmarshal([]byte(text), loaded); err != nil {
 				return loaded, append(findings, Finding{File: name, Message: err.Error()})
 			}
 			return loaded, findings
 		case errors.As(err, &wrong):
-			findings = append(findings, finding(name, wrong, strings.TrimPrefix(wrong.Error(), "toml: ")))
+			findings = append(findings, decodeFinding(name, wrong, strings.TrimPrefix(wrong.Error(), "toml: ")))
 			line, _ := wrong.Position()
 			text = blankLine(text, line)
 		default:
@@ -116,7 +116,7 @@
 	return &Settings{}, findings
 }
 
-func finding(name string, problem *toml.DecodeError, message string) Finding {
+func decodeFinding(name string, problem *toml.DecodeError, message string) Finding {
 	line, column := problem.Position()
 	return Finding{File: name, Line: line, Column: column, Key: strings.Join(problem.Key(), "."), Message: message}
 }
@@ -129,18 +129,18 @@
 	return strings.Join(lines, "\n")
 }
 
-type place struct{ line, column int }
+type position struct{ line, column int }
 
-// locate finds where each key stands, and reports what is not TOML at all.
-func locate(name string, content []byte) (map[string]place, Findings) {
-	places := make(map[string]place)
+// keyPositions finds where each key stands, and reports what is not TOML at all.
+func keyPositions(name string, content []byte) (map[string]position, Findings) {
+	places := make(map[string]position)
 	var parser unstable.Parser
 	parser.Reset(content)
 	prefix := ""
 	tables := make(map[string]int)
 	for parser.NextExpression() {
 		node := parser.Expression()
-		keys, at := keyOf(&parser, node)
+		keys, at := keyPosition(&parser, node)
 		switch node.Kind {
 		case unstable.Table:
 			prefix = keys + "."
@@ -159,14 +159,14 @@
 	return places, nil
 }
 
-func keyOf(parser *unstable.Parser, node *unstable.Node) (string, place) {
+func keyPosition(parser *unstable.Parser, node *unstable.Node) (string, position) {
 	var parts []string
-	var at place
+	var at position
 	for keys := node.Key(); keys.Next(); {
 		key := keys.Node()
 		if len(parts) == 0 {
 			start := parser.Shape(key.Raw).Start
-			at = place{line: start.Line, column: start.Column}
+			at = position{line: start.Line, column: start.Column}
 		}
 		parts = append(parts, string(key.Data))
 	}
@@ -179,7 +179,7 @@
 	err := toml.Unmarshal(content, &ignored)
 	var wrong *toml.DecodeError
 	if errors.As(err, &wrong) {
-		return finding(name, wrong, strings.TrimPrefix(wrong.Error(), "toml: "))
+		return decodeFinding(name, wrong, strings.TrimPrefix(wrong.Error(), "toml: "))
 	}
 	return Finding{File: name, Message: fmt.Sprint(err)}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -119,21 +119,21 @@
 	Entries []string `toml:"entries"`
 	// Heartbeat is the time between two heartbeats.
 	Heartbeat Duration `toml:"heartbeat"`
-	// Silence is after how long without a heartbeat a box counts as silent.
-	Silence Duration `toml:"silence"`
+	// SilenceTimeout is after how long without a heartbeat a box counts as silent.
+	SilenceTimeout Duration `toml:"silence"`
 }
 
 // Requests tunes an entry box's work for callers.
 type Requests struct {
-	// PlacesPerReplica is how many requests each live replica takes at once,
+	// SlotsPerReplica is how many requests each live replica takes at once,
 	// summed over all entry boxes.
-	PlacesPerReplica int `toml:"places_per_replica"`
+	SlotsPerReplica int `toml:"places_per_replica"`
 	// QueuePerGroup bounds the requests of one group that wait.
 	QueuePerGroup int `toml:"queue_per_group"`
 	// Deadline is that of a request which names none.
 	Deadline Duration `toml:"deadline"`
-	// BodyLimit bounds a request's body that is kept for a retry, in bytes.
-	BodyLimit int64 `toml:"retry_body_limit_bytes"`
+	// RetryBodyLimit bounds a request's body that is kept for a retry, in bytes.
+	RetryBodyLimit int64 `toml:"retry_body_limit_bytes"`
 	// EntriesTTL is how long a caller may keep the list of entry boxes.
 	EntriesTTL Duration `toml:"entries_ttl"`
 }
@@ -165,7 +165,7 @@
 	MemoryLimit int64 `toml:"memory_limit_bytes"`
 	// RankDelay is how long a box waits for the one before it in the order of
 	// drawers.
-	DrawWait Duration `toml:"draw_wait"`
+	OriginFetchWait Duration `toml:"draw_wait"`
 }
 
 // Direct tunes a process in direct mode.
@@ -180,8 +180,8 @@
 	AgentPort int `toml:"agent_port"`
 	// Domains gives the region of each failure domain.
 	Domains map[string]string `toml:"domains"`
-	// MemoryMegabytes bounds the process's memory, in millions of bytes.
-	MemoryMegabytes float64 `toml:"memory_limit_megabytes"`
+	// MemoryLimitMegabytes bounds the process's memory, in millions of bytes.
+	MemoryLimitMegabytes float64 `toml:"memory_limit_megabytes"`
 	// LinkMbps is the rate of the box's link, in Mbit/s.
 	LinkMbps float64 `toml:"link_mbps"`
 	// VersionBound is how long after newer weights were named older ones may
@@ -212,26 +212,26 @@
 }
 
 const (
-	defaultHeartbeat    = Duration(time.Second)
-	defaultSilence      = Duration(3 * time.Second)
-	defaultPlaces       = 16
-	defaultQueue        = 256
-	defaultDeadline     = Duration(2 * time.Minute)
-	defaultBodyLimit    = 1 << 20
-	defaultEntriesTTL   = Duration(10 * time.Second)
-	defaultSlots        = 2
-	defaultMemoryLimit  = 1 << 30
-	defaultDrawWait     = Duration(2 * time.Second)
-	defaultGrace        = Duration(time.Minute)
-	defaultLogLevel     = "info"
-	defaultOrganisation = "default"
-	defaultVersionBound = Duration(8 * time.Second)
-	defaultSettleTime   = Duration(3 * time.Second)
-	defaultChangeBound  = Duration(2 * time.Second)
-	defaultDirectoryTTL = Duration(time.Second)
-	defaultRetryRatio   = 0.2
-	defaultRetryExtra   = 100.0
-	defaultRetryWindow  = Duration(10 * time.Second)
+	defaultHeartbeat       = Duration(time.Second)
+	defaultSilenceTimeout  = Duration(3 * time.Second)
+	defaultSlotsPerReplica = 16
+	defaultQueuePerGroup   = 256
+	defaultDeadline        = Duration(2 * time.Minute)
+	defaultRetryBodyLimit  = 1 << 20
+	defaultEntriesTTL      = Duration(10 * time.Second)
+	defaultEngineSlots     = 2
+	defaultMemoryLimit     = 1 << 30
+	defaultOriginFetchWait = Duration(2 * time.Second)
+	defaultStopGrace       = Duration(time.Minute)
+	defaultLogLevel        = "info"
+	defaultOrganisation    = "default"
+	defaultVersionBound    = Duration(8 * time.Second)
+	defaultSettleTime      = Duration(3 * time.Second)
+	defaultChangeBound     = Duration(2 * time.Second)
+	defaultDirectoryTTL    = Duration(time.Second)
+	defaultRetryRatio      = 0.2
+	defaultRetryExtra      = 100.0
+	defaultRetryWindow     = Duration(10 * time.Second)
 )
 
 // Default fills everything that the file left out.
@@ -246,18 +246,18 @@
 	setDefault(&s.Direct.RetryExtra, new(defaultRetryExtra))
 	setDefault(&s.Direct.RetryWindow, defaultRetryWindow)
 	setDefault(&s.Peers.Heartbeat, defaultHeartbeat)
-	setDefault(&s.Peers.Silence, defaultSilence)
-	setDefault(&s.Requests.PlacesPerReplica, defaultPlaces)
-	setDefault(&s.Requests.QueuePerGroup, defaultQueue)
+	setDefault(&s.Peers.SilenceTimeout, defaultSilenceTimeout)
+	setDefault(&s.Requests.SlotsPerReplica, defaultSlotsPerReplica)
+	setDefault(&s.Requests.QueuePerGroup, defaultQueuePerGroup)
 	setDefault(&s.Requests.Deadline, defaultDeadline)
-	setDefault(&s.Requests.BodyLimit, defaultBodyLimit)
+	setDefault(&s.Requests.RetryBodyLimit, defaultRetryBodyLimit)
 	setDefault(&s.Requests.EntriesTTL, defaultEntriesTTL)
-	setDefault(&s.Agent.Engine.Slots, defaultSlots)
+	setDefault(&s.Agent.Engine.Slots, defaultEngineSlots)
 	setDefault(&s.Weights.Prefer, PreferFewestBytes)
 	setDefault(&s.Weights.MemoryLimit, defaultMemoryLimit)
-	setDefault(&s.Weights.DrawWait, defaultDrawWait)
+	setDefault(&s.Weights.OriginFetchWait, defaultOriginFetchWait)
 	setDefault(&s.Log.Level, defaultLogLevel)
-	setDefault(&s.Stop.Grace, defaultGrace)
+	setDefault(&s.Stop.Grace, defaultStopGrace)
 }
 
 func setDefault[T comparable](field *T, value T) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 )
 
 // Each file holds settings and the findings about them, with their places.
-func TestEveryFindingIsReportedWithItsPlace(t *testing.T) {
+func TestFindingsIncludeLineAndColumn(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -43,12 +43,12 @@
 	}
 }
 
-func TestFileThatIsNotThereIsAFinding(t *testing.T) {
+func TestMissingFileIsReported(t *testing.T) {
 	_, findings := Load(filepath.Join(t.TempDir(), "none.toml"))
 	require.Len(t, findings, 1)
 }
 
-func TestTokenFileThatIsEmptyIsAFinding(t *testing.T) {
+func TestEmptyTokenFileIsReported(t *testing.T) {
 	token := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(token, []byte(" \n"), 0o600))
 	content, err := os.ReadFile("../../examples/hatakei/entry.toml")
--- a/internal/settings/template_test.go
+++ b/internal/settings/template_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fields are what the platform fills the template from.
-type fields map[string]any
+// templateData are what the platform fills the template from.
+type templateData map[string]any
 
-func (f fields) get(name string) any {
+func (f templateData) get(name string) any {
 	var value any = map[string]any(f)
 	for part := range strings.SplitSeq(name, ".") {
 		switch at := value.(type) {
@@ -35,28 +35,28 @@
 }
 
 var (
-	section = regexp.MustCompile(`(?s)\{\{([#^])([\w.]+)\}\}(.*?)\{\{/([\w.]+)\}\}`)
-	gap     = regexp.MustCompile(`\{\{([\w.@]+)(\|json)?\}\}`)
+	sectionPattern  = regexp.MustCompile(`(?s)\{\{([#^])([\w.]+)\}\}(.*?)\{\{/([\w.]+)\}\}`)
+	variablePattern = regexp.MustCompile(`\{\{([\w.@]+)(\|json)?\}\}`)
 )
 
-// fill fills the template as the platform's pages describe it, as far as it is used.
-func fill(text string, f fields) string {
-	text = section.ReplaceAllStringFunc(text, func(found string) string {
-		parts := section.FindStringSubmatch(found)
+// renderTemplate fills the template as the platform's pages describe it, as far as it is used.
+func renderTemplate(text string, f templateData) string {
+	text = sectionPattern.ReplaceAllStringFunc(text, func(found string) string {
+		parts := sectionPattern.FindStringSubmatch(found)
 		value := f.get(parts[2])
 		given := value != nil && value != false && value != ""
 		if parts[1] == "^" {
 			if given {
 				return ""
 			}
-			return fill(parts[3], f)
+			return renderTemplate(parts[3], f)
 		}
 		table, ok := value.(map[string]any)
 		switch {
 		case !given:
 			return ""
 		case !ok:
-			return fill(parts[3], f)
+			return renderTemplate(parts[3], f)
 		}
 		var out strings.Builder
 		names := make([]string, 0, len(table))
@@ -69,8 +69,8 @@
 		}
 		return out.String()
 	})
-	return gap.ReplaceAllStringFunc(text, func(found string) string {
-		parts := gap.FindStringSubmatch(found)
+	return variablePattern.ReplaceAllStringFunc(text, func(found string) string {
+		parts := variablePattern.FindStringSubmatch(found)
 		value := f.get(parts[1])
 		if parts[2] != "" {
 			raw, err := json.Marshal(value)
@@ -86,10 +86,10 @@
 	})
 }
 
-// platformFields decodes fields as the platform has them.
-func platformFields(t *testing.T, listen string, numbers string) fields {
+// decodeTemplateData decodes fields as the platform has them.
+func decodeTemplateData(t *testing.T, listen string, numbers string) templateData {
 	t.Helper()
-	var f fields
+	var f templateData
 	require.NoError(t, json.Unmarshal([]byte(`{
 		"NodeName": "edge-kita-a-1", "Ip": "10.1.0.40", "Zone": "kita-a", "Region": "kita", "InternalPorts": [7700, 7715],
 		"Seeds": ["10.1.0.40:8000", "10.2.0.37:8000"], "Zones": {"kita-a": "kita", "minami-a": "minami"},
@@ -103,7 +103,7 @@
 )
 
 // A deployment whose bounds were fractions could not start at all.
-func TestTheTemplateGivesSettingsWhateverNumbersThePlatformHas(t *testing.T) {
+func TestTemplateRendersValidSettings(t *testing.T) {
 	template, err := os.ReadFile("../../deploy/settings.toml.tmpl")
 	require.NoError(t, err)
 	bounds := map[string]string{
@@ -114,7 +114,7 @@
 	for name, numbers := range bounds {
 		for role, listen := range map[Role]string{RoleEntry: entryListen, RoleAgent: agentListen} {
 			t.Run(name+"/"+string(role), func(t *testing.T) {
-				text := fill(string(template), platformFields(t, listen, numbers))
+				text := renderTemplate(string(template), decodeTemplateData(t, listen, numbers))
 				loaded, findings := Parse("settings.toml", []byte(text))
 				require.Empty(t, findings, text)
 				require.Equal(t, role, loaded.Role)
--- a/internal/soak/deadly_test.go
+++ b/internal/soak/deadly_test.go
@@ -42,7 +42,7 @@
 	w.crashes.Go(func() {
 		time.Sleep(crashDown)
 		s.Restart(s.id)
-		s.Hold(version)
+		s.SetVersion(version)
 		if err := s.link.listen(s.link.address()); err != nil {
 			w.t.Error(err)
 		}
@@ -53,7 +53,7 @@
 // runDeadly sends the request until the load ends, to one entry box after the other.
 func (l *load) runDeadly() {
 	for _, s := range l.w.servers {
-		s.CrashAt(deadlyBody, func() { l.w.crash(s) })
+		s.CrashOnBody(deadlyBody, func() { l.w.crash(s) })
 	}
 	for _, kind := range deadlyKinds {
 		l.all.Go(func() {
@@ -95,15 +95,15 @@
 }
 
 // deadlyVisits are the tries of the request on a route that reached a server, in their order.
-func (l *load) deadlyVisits(kind string) (visits []standin.Visit) {
+func (l *load) deadlyVisits(kind string) (visits []standin.ReceivedRequest) {
 	for _, s := range l.w.servers {
-		for _, visit := range s.Visits() {
+		for _, visit := range s.ReceivedRequests() {
 			if visit.Body == deadlyBody && strings.HasPrefix(visit.Path, "/"+kind+"/") {
 				visits = append(visits, visit)
 			}
 		}
 	}
-	slices.SortFunc(visits, func(a, b standin.Visit) int { return a.At.Compare(b.At) })
+	slices.SortFunc(visits, func(a, b standin.ReceivedRequest) int { return a.At.Compare(b.At) })
 	return visits
 }
 
@@ -117,7 +117,7 @@
 		bound, late := visits[endsAllowed-1].At.Add(contactTime), 0
 		for _, visit := range visits {
 			l.mu.Lock()
-			entry := l.asks[visit.Request].entry
+			entry := l.asks[visit.RequestID].entry
 			l.mu.Unlock()
 			if visit.At.After(bound) && !l.w.disturbedBetween(entry, visit.At.Add(-contactTime), visit.At) {
 				late++
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -16,7 +16,7 @@
 var faults = []fault{
 	onEntry((*process).kill), onAgent((*process).kill), onEntry((*process).roll), onAgent((*process).roll),
 	onEntry((*process).freeze), onAgent((*process).freeze), onEntry((*process).reload), onAgent((*process).reload), killAllEntries,
-	storeFault(standin.FaultRefuse), storeFault(standin.FaultDeaf), storeCompacts,
+	storeFault(standin.FaultUnavailable), storeFault(standin.FaultNoEvents), storeCompacts,
 	onStoreLink(silence), onStoreLink(silenceAnswers), onStoreLink(slow), onStoreLink(refuse), storeSwallows, storeMute,
 	onServerLink(silence), onServerLink(silenceAnswers), onServerLink(slow), onServerLink(refuse), resetServer, serverLinkMute,
 	serverMute, serverFails, serverCuts, spoilOrigin, nameWeights, nameWeights, changeConfiguration, changeConfiguration,
@@ -169,26 +169,26 @@
 
 func serverMute(w *world, pick int, lasts time.Duration) {
 	s := w.servers[pick%len(w.servers)]
-	s.Mute(true)
+	s.SetUnresponsive(true)
 	time.Sleep(lasts)
-	s.Mute(false)
+	s.SetUnresponsive(false)
 }
 
 func serverFails(w *world, pick int, lasts time.Duration) {
 	s := w.servers[pick%len(w.servers)]
-	s.Fail(500)
+	s.SetErrorStatus(500)
 	time.Sleep(lasts)
-	s.Fail(0)
+	s.SetErrorStatus(0)
 }
 
 func serverCuts(w *world, pick int, lasts time.Duration) {
 	s := w.servers[pick%len(w.servers)]
-	s.CutAt(1 + pick%events)
+	s.TruncateStreamAt(1 + pick%events)
 	time.Sleep(lasts)
-	s.CutAt(0)
+	s.TruncateStreamAt(0)
 }
 
-func spoilOrigin(w *world, pick int, _ time.Duration) { w.origin.Spoil(1 + pick%5) }
+func spoilOrigin(w *world, pick int, _ time.Duration) { w.origin.CorruptNext(1 + pick%5) }
 
 func nameWeights(w *world, _ int, _ time.Duration) { w.nameVersion() }
 
--- a/internal/soak/limits_test.go
+++ b/internal/soak/limits_test.go
@@ -34,18 +34,18 @@
 // varyLimits sets and removes the limits of randomly chosen servers for a time.
 func (w *world) varyLimits(lasts time.Duration) {
 	for end := time.Now().Add(lasts); time.Now().Before(end); {
-		w.servers[w.limits.IntN(len(w.servers))].Limit(limitValues[w.limits.IntN(len(limitValues))])
+		w.servers[w.limits.IntN(len(w.servers))].SetRateLimit(limitValues[w.limits.IntN(len(limitValues))])
 		time.Sleep(time.Duration(w.limits.Int64N(int64(2 * limitEvery))))
 	}
 }
 
 // limitWithoutFaults limits one server of each service for a time while no faults are injected.
 func (w *world) limitWithoutFaults() {
-	w.servers[0].Limit("0")
-	w.servers[len(w.servers)-1].Limit("1")
+	w.servers[0].SetRateLimit("0")
+	w.servers[len(w.servers)-1].SetRateLimit("1")
 	time.Sleep(faultFreeLimitTime)
 	for _, s := range w.servers {
-		s.Limit("")
+		s.SetRateLimit("")
 	}
 }
 
@@ -61,9 +61,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.w.servers {
-		limited := []standin.Visit{}
-		for _, visit := range s.Visits() {
-			if _, err := parseLimit(&visit); err != nil || len(limited) > 0 && visit.Born != limited[0].Born {
+		limited := []standin.ReceivedRequest{}
+		for _, visit := range s.ReceivedRequests() {
+			if _, err := parseLimit(&visit); err != nil || len(limited) > 0 && visit.StartedAtMs != limited[0].StartedAtMs {
 				findings = append(findings, l.exceededLimit(s.id, limited)...)
 				limited = limited[:0]
 			}
@@ -77,7 +77,7 @@
 }
 
 // parseLimit returns the limit in the answer to a visit, or an error if there was none or it is invalid.
-func parseLimit(visit *standin.Visit) (float64, error) {
+func parseLimit(visit *standin.ReceivedRequest) (float64, error) {
 	limit, err := strconv.ParseFloat(visit.Limit, 64)
 	if err == nil && !(limit >= 0) {
 		err = strconv.ErrRange
@@ -87,17 +87,17 @@
 
 // exceededLimit checks consecutive visits to one start of a server that were all answered with a valid limit, and reports the first
 // window with too many requests. The lock must be held.
-func (l *load) exceededLimit(server string, limited []standin.Visit) (findings []string) {
+func (l *load) exceededLimit(server string, limited []standin.ReceivedRequest) (findings []string) {
 	knownSince := make(map[string]time.Time)
 	for _, visit := range limited {
-		heard, entry := l.limitHeard[visit.Request], l.asks[visit.Request].entry
+		heard, entry := l.limitHeard[visit.RequestID], l.asks[visit.RequestID].entry
 		if first := knownSince[entry]; !heard.IsZero() && (first.IsZero() || heard.Before(first)) {
 			knownSince[entry] = heard
 		}
 	}
 	var counted []time.Time
 	for _, visit := range limited {
-		ask := l.asks[visit.Request]
+		ask := l.asks[visit.RequestID]
 		if since := knownSince[ask.entry]; !since.IsZero() && ask.sent.Sub(since) >= limitEffectDelay &&
 			!l.w.disturbedBetween(ask.entry, ask.sent.Add(-limitRecoveryTime), visit.At) {
 			counted = append(counted, ask.sent)
@@ -119,7 +119,7 @@
 
 // highestLimit returns the highest limit that applies to the window that ends at end. Limits apply from limitGrace before the window
 // to limitGrace after it.
-func highestLimit(limited []standin.Visit, end time.Time) float64 {
+func highestLimit(limited []standin.ReceivedRequest, end time.Time) float64 {
 	highest := 0.0
 	for i := range limited {
 		if age := end.Sub(limited[i].At); age < ratewindow.Window+limitGrace && age > -limitGrace {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -121,7 +121,7 @@
 		findings = append(findings, p.findings()...)
 	}
 	for _, s := range w.servers {
-		findings = append(findings, s.Findings()...)
+		findings = append(findings, s.Violations()...)
 	}
 	for _, finding := range findings {
 		t.Error(finding)
@@ -172,10 +172,10 @@
 		p.heal()
 	}
 	for _, s := range w.servers {
-		s.Mute(false)
-		s.Fail(0)
-		s.CutAt(0)
-		s.Limit("")
+		s.SetUnresponsive(false)
+		s.SetErrorStatus(0)
+		s.TruncateStreamAt(0)
+		s.SetRateLimit("")
 	}
 	for _, p := range w.processes() {
 		p.signal(syscall.SIGCONT)
--- a/internal/soak/words_test.go
+++ b/internal/soak/words_test.go
@@ -34,12 +34,12 @@
 		time.Sleep(time.Duration(w.words.Int64N(int64(2 * speakEvery))))
 		s := w.servers[w.words.IntN(len(w.servers))]
 		if w.words.IntN(2) == 0 {
-			s.Rest(restsAsked[w.words.IntN(len(restsAsked))])
+			s.SetRetryAfter(restsAsked[w.words.IntN(len(restsAsked))])
 			time.Sleep(time.Duration(w.words.Int64N(int64(speakEvery))))
-			s.Rest("")
+			s.SetRetryAfter("")
 			continue
 		}
-		if s.LeaveAfter(leavesAfter) && w.words.IntN(2) == 0 {
+		if s.SetLeavingAfterUptime(leavesAfter) && w.words.IntN(2) == 0 {
 			time.Sleep(time.Duration(w.words.Int64N(int64(speakEvery))))
 			// It may have started again meanwhile, and that start does not leave.
 			w.store.Put("servers/"+s.id, s.Entry(s.service, s.link.address(), "hall-a", s.IsLeaving()))
@@ -50,7 +50,7 @@
 // endWords lets every server that leaves start again, and take what comes.
 func (w *world) endWords() {
 	for _, s := range w.servers {
-		s.Rest("")
+		s.SetRetryAfter("")
 		if s.IsLeaving() {
 			s.Restart(s.id)
 			w.store.Put("servers/"+s.id, s.Entry(s.service, s.link.address(), "hall-a", false))
@@ -86,7 +86,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.w.servers {
-		visits := s.Visits()
+		visits := s.ReceivedRequests()
 		findings = append(findings, l.sentToLeaving(s.id, visits)...)
 		findings = append(findings, l.sentToResting(s.id, visits, rests)...)
 	}
@@ -94,43 +94,43 @@
 }
 
 // sentToLeaving finds requests that reached a server that had said that it leaves. The lock must be held.
-func (l *load) sentToLeaving(server string, visits []standin.Visit) (findings []string) {
+func (l *load) sentToLeaving(server string, visits []standin.ReceivedRequest) (findings []string) {
 	first := make(map[word]time.Time)
 	for _, visit := range visits {
-		heard, ok := l.heard[visit.Request]
-		about := word{l.asks[visit.Request].entry, visit.Born}
+		heard, ok := l.heard[visit.RequestID]
+		about := word{l.asks[visit.RequestID].entry, visit.StartedAtMs}
 		if known := first[about]; ok && visit.Leaving && (known.IsZero() || heard.Before(known)) {
 			first[about] = heard
 		}
 	}
 	for _, visit := range visits {
-		ask := l.asks[visit.Request]
-		heard := first[word{ask.entry, visit.Born}]
+		ask := l.asks[visit.RequestID]
+		heard := first[word{ask.entry, visit.StartedAtMs}]
 		if !heard.IsZero() && ask.sent.After(heard) && !l.w.startedSince(ask.entry, heard, visit.At) {
 			findings = append(findings, fmt.Sprintf("request %s reached %s %s after %s had passed on that it leaves",
-				visit.Request, server, visit.At.Sub(heard), ask.entry))
+				visit.RequestID, server, visit.At.Sub(heard), ask.entry))
 		}
 	}
 	return findings
 }
 
 // sentToResting finds rests that a server asked for and did not get. The lock must be held.
-func (l *load) sentToResting(server string, visits []standin.Visit, rests map[string]time.Time) (findings []string) {
+func (l *load) sentToResting(server string, visits []standin.ReceivedRequest, rests map[string]time.Time) (findings []string) {
 	for _, turned := range visits {
-		heard, ok := rests[turned.Request]
-		if !ok || turned.RestUntil.IsZero() {
+		heard, ok := rests[turned.RequestID]
+		if !ok || turned.BackoffUntil.IsZero() {
 			continue
 		}
-		entry, came := l.asks[turned.Request].entry, 0
+		entry, came := l.asks[turned.RequestID].entry, 0
 		for _, visit := range visits {
-			ask := l.asks[visit.Request]
-			if ask.entry == entry && visit.Born == turned.Born && ask.sent.After(heard) && visit.At.Before(turned.RestUntil) &&
+			ask := l.asks[visit.RequestID]
+			if ask.entry == entry && visit.StartedAtMs == turned.StartedAtMs && ask.sent.After(heard) && visit.At.Before(turned.BackoffUntil) &&
 				!l.w.startedSince(entry, heard, visit.At) {
 				came++
 			}
 		}
 		if came > restedOnce {
-			findings = append(findings, fmt.Sprintf("%s asked %s for rest by its answer to %s and got %d requests", server, entry, turned.Request, came))
+			findings = append(findings, fmt.Sprintf("%s asked %s for rest by its answer to %s and got %d requests", server, entry, turned.RequestID, came))
 		}
 	}
 	return findings
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -135,8 +135,8 @@
 		version = 1
 	}
 	s := &server{id: id, service: service, Server: standin.NewServer(standin.ServerOptions{
-		ID: id, Model: model, Version: version, Pieces: pieces, Digest: w.origin.Digest,
-		Events: events, EventTime: eventTime, LoadTime: 50 * time.Millisecond,
+		ID: id, Model: model, Version: version, Chunks: pieces, Digest: w.origin.Digest,
+		Events: events, EventInterval: eventTime, LoadTime: 50 * time.Millisecond,
 	})}
 	s.link = w.link(fmt.Sprintf("%s:%d", ip, portServers), w.serve(s))
 	w.servers = append(w.servers, s)
@@ -203,7 +203,7 @@
 		routes = append(routes, route(added, "safe", "maps", false))
 	}
 	engine := map[string]any{
-		"Slots": 4, "Models": []map[string]any{{"Name": "daka", "WarmupS": 0.05}}, "layers": standin.Layers,
+		"Slots": 4, "Models": []map[string]any{{"Name": "daka", "WarmupS": 0.05}}, "layers": standin.LayerCount,
 		"chunks": pieces, "chunk_bytes": pieceSize, "step_ms": 7.0, "read_per_s": 30000.0, "stride": 6, "chunk": 2048,
 	}
 	w.put("op/config", map[string]any{
--- a/internal/standin/boxlist.go
+++ b/internal/standin/boxlist.go
@@ -23,16 +23,16 @@
 }
 
 type listChange struct {
-	at    time.Time
-	box   provider.ListedBox
-	gone  bool
-	named string
+	at      time.Time
+	box     provider.ListedBox
+	removed bool
+	name    string
 }
 
 // NewBoxList returns an empty list that lags.
 func NewBoxList(clock clockwork.Clock, lag time.Duration) *BoxList {
 	l := &BoxList{clock: clock, lag: lag}
-	l.handler = l.wrap(clock, http.HandlerFunc(l.serve))
+	l.handler = l.withFaults(clock, http.HandlerFunc(l.serve))
 	return l
 }
 
@@ -43,14 +43,14 @@
 func (l *BoxList) Set(box provider.ListedBox) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.changes = append(l.changes, listChange{at: l.clock.Now(), box: box, named: string(box.Box)})
+	l.changes = append(l.changes, listChange{at: l.clock.Now(), box: box, name: string(box.Box)})
 }
 
 // Remove takes a box off the list.
 func (l *BoxList) Remove(box string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.changes = append(l.changes, listChange{at: l.clock.Now(), gone: true, named: box})
+	l.changes = append(l.changes, listChange{at: l.clock.Now(), removed: true, name: box})
 }
 
 func (l *BoxList) serve(w http.ResponseWriter, _ *http.Request) {
@@ -63,12 +63,12 @@
 		if change.at.After(seen) {
 			continue
 		}
-		if _, known := boxes[change.named]; !known {
-			order = append(order, change.named)
+		if _, known := boxes[change.name]; !known {
+			order = append(order, change.name)
 		}
-		boxes[change.named] = change.box
-		if change.gone {
-			delete(boxes, change.named)
+		boxes[change.name] = change.box
+		if change.removed {
+			delete(boxes, change.name)
 		}
 	}
 	groups := []provider.TargetGroup{}
@@ -84,7 +84,7 @@
 
 func targetGroup(box provider.ListedBox) provider.TargetGroup {
 	return provider.TargetGroup{
-		Targets: []string{string(box.Peers)},
+		Targets: []string{string(box.PeerAddress)},
 		Labels: map[string]string{
 			provider.LabelBox:           string(box.Box),
 			provider.LabelRole:          string(box.Role),
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -27,11 +27,11 @@
 	options EngineOptions
 
 	mu      sync.Mutex
-	fence   provider.Fence
+	fence   provider.FencingToken
 	staging map[string]map[int][]byte
 	loaded  map[string]provider.LoadedVersion
 	running int
-	started map[string]int
+	runs    map[string]int
 	orders  []provider.Order
 }
 
@@ -41,8 +41,8 @@
 	Slots int
 	// LoadTime is how long a load takes.
 	LoadTime time.Duration
-	// TokenTime is the time between two tokens.
-	TokenTime time.Duration
+	// TokenInterval is the time between two tokens.
+	TokenInterval time.Duration
 	// Tokens is how many tokens an answer has if the request does not say.
 	Tokens int
 }
@@ -53,26 +53,26 @@
 		clock: clock, options: options,
 		staging: make(map[string]map[int][]byte),
 		loaded:  make(map[string]provider.LoadedVersion),
-		started: make(map[string]int),
+		runs:    make(map[string]int),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /staging/{manifest}/{chunk}", e.serveStage)
 	mux.HandleFunc("POST /orders", e.serveOrder)
 	mux.HandleFunc("GET /state", e.serveState)
 	mux.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
-	e.handler = e.wrap(clock, mux)
+	e.handler = e.withFaults(clock, mux)
 	return e
 }
 
 // ServeHTTP answers one call.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.handler.ServeHTTP(w, r) }
 
-// Started returns how often each request id began to run.
-func (e *Engine) Started() map[string]int {
+// Runs returns how often each request id began to run.
+func (e *Engine) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	started := make(map[string]int, len(e.started))
-	for id, count := range e.started {
+	started := make(map[string]int, len(e.runs))
+	for id, count := range e.runs {
 		started[id] = count
 	}
 	return started
@@ -85,9 +85,9 @@
 	return append([]provider.Order(nil), e.orders...)
 }
 
-// Forget drops everything that is loaded, as a restart of the engine does. Its
+// Reset drops everything that is loaded, as a restart of the engine does. Its
 // fence stays.
-func (e *Engine) Forget() {
+func (e *Engine) Reset() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	clear(e.loaded)
@@ -131,14 +131,14 @@
 		http.Error(w, "order is older than the fence", http.StatusConflict)
 		return
 	}
-	if err := e.obey(order); err != nil {
+	if err := e.execute(order); err != nil {
 		http.Error(w, err.Error(), http.StatusUnprocessableEntity)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (e *Engine) obey(order provider.Order) error {
+func (e *Engine) execute(order provider.Order) error {
 	key := string(order.Model) + "/" + string(order.Version)
 	if order.Kind == provider.OrderUnload {
 		e.mu.Lock()
@@ -178,8 +178,8 @@
 	}
 	var sum weights.Digest
 	whole.Sum(sum[:0])
-	if sum != order.Whole {
-		return fmt.Errorf("digest of the whole is %s, want %s", sum.Short(), order.Whole.Short())
+	if sum != order.WholeDigest {
+		return fmt.Errorf("digest of the whole is %s, want %s", sum.Short(), order.WholeDigest.Short())
 	}
 	return nil
 }
@@ -194,8 +194,8 @@
 	writeJSON(w, state)
 }
 
-// Completion is the part of a chat completion request that the engine reads.
-type Completion struct {
+// CompletionRequest is the part of a chat completion request that the engine reads.
+type CompletionRequest struct {
 	Model     string `json:"model"`
 	Stream    bool   `json:"stream"`
 	MaxTokens int    `json:"max_tokens"`
@@ -206,7 +206,7 @@
 }
 
 func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
-	var request Completion
+	var request CompletionRequest
 	if !decode(w, r, &request) {
 		return
 	}
@@ -215,7 +215,7 @@
 	loaded, ok := e.loaded[request.Model+"/"+version]
 	if ok {
 		e.running++
-		e.started[r.Header.Get("Cinderslip-Request-Id")]++
+		e.runs[r.Header.Get("Cinderslip-Request-Id")]++
 	}
 	e.mu.Unlock()
 	if !ok {
@@ -230,13 +230,13 @@
 	e.stream(w, r, request, loaded)
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, request Completion, loaded provider.LoadedVersion) {
-	words := answerWords(request, loaded, e.options.Tokens)
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, request CompletionRequest, loaded provider.LoadedVersion) {
+	words := responseTokens(request, loaded, e.options.Tokens)
 	w.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(w)
 	for _, word := range words {
 		select {
-		case <-e.clock.After(e.options.TokenTime):
+		case <-e.clock.After(e.options.TokenInterval):
 		case <-r.Context().Done():
 			return
 		}
@@ -248,7 +248,7 @@
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
 }
 
-func answerWords(request Completion, loaded provider.LoadedVersion, tokens int) []string {
+func responseTokens(request CompletionRequest, loaded provider.LoadedVersion, tokens int) []string {
 	if request.MaxTokens > 0 {
 		tokens = request.MaxTokens
 	}
--- a/internal/standin/keyvalue.go
+++ b/internal/standin/keyvalue.go
@@ -31,8 +31,8 @@
 	Status int
 	// Delay holds the call back before it is carried out.
 	Delay time.Duration
-	// LoseAnswer carries the call out, then breaks the connection.
-	LoseAnswer bool
+	// DropResponse carries the call out, then breaks the connection.
+	DropResponse bool
 }
 
 // faults is embedded by each stand-in.
@@ -58,8 +58,8 @@
 	return fault(path)
 }
 
-// wrap carries calls out under the current fault.
-func (f *faults) wrap(clock clockwork.Clock, next http.Handler) http.Handler {
+// withFaults carries calls out under the current fault.
+func (f *faults) withFaults(clock clockwork.Clock, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fault := f.next(r.URL.Path)
 		if fault.Delay > 0 {
@@ -73,21 +73,21 @@
 			http.Error(w, "fault", fault.Status)
 			return
 		}
-		if fault.LoseAnswer {
-			next.ServeHTTP(discard{header: http.Header{}}, r)
+		if fault.DropResponse {
+			next.ServeHTTP(discardWriter{header: http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// discard is a ResponseWriter whose answer is lost.
-type discard struct{ header http.Header }
+// discardWriter is a ResponseWriter whose answer is lost.
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header             { return d.header }
-func (d discard) Write(data []byte) (int, error)  { return len(data), nil }
-func (d discard) WriteHeader(int)                 {}
-func writeJSON(w http.ResponseWriter, answer any) { _ = json.NewEncoder(w).Encode(answer) }
+func (d discardWriter) Header() http.Header            { return d.header }
+func (d discardWriter) Write(data []byte) (int, error) { return len(data), nil }
+func (d discardWriter) WriteHeader(int)                {}
+func writeJSON(w http.ResponseWriter, answer any)      { _ = json.NewEncoder(w).Encode(answer) }
 
 type pair struct {
 	Key            []byte `json:"key"`
@@ -134,7 +134,7 @@
 	mux.HandleFunc("POST /v3/lease/keepalive", kv.serveKeepAlive)
 	mux.HandleFunc("POST /v3/lease/revoke", kv.serveRevoke)
 	mux.HandleFunc("POST /v3/watch", kv.serveWatch)
-	kv.handler = kv.wrap(clock, mux)
+	kv.handler = kv.withFaults(clock, mux)
 	return kv
 }
 
@@ -170,12 +170,12 @@
 	now := kv.clock.Now()
 	for id, held := range kv.leases {
 		if now.After(held.expires) {
-			kv.drop(id)
+			kv.removeLease(id)
 		}
 	}
 }
 
-func (kv *KeyValue) drop(id int64) {
+func (kv *KeyValue) removeLease(id int64) {
 	delete(kv.leases, id)
 	for key, held := range kv.pairs {
 		if held.lease == id {
@@ -211,7 +211,7 @@
 	writeJSON(w, answer)
 }
 
-type txnMessage struct {
+type txnRequest struct {
 	Compare []struct {
 		Key         []byte `json:"key"`
 		ModRevision int64  `json:"mod_revision,string"`
@@ -225,12 +225,12 @@
 	} `json:"success"`
 }
 
-type header struct {
+type responseHeader struct {
 	Revision int64 `json:"revision,string"`
 }
 
 func (kv *KeyValue) serveTxn(w http.ResponseWriter, r *http.Request) {
-	var message txnMessage
+	var message txnRequest
 	if !decode(w, r, &message) {
 		return
 	}
@@ -245,9 +245,9 @@
 		}
 	}
 	answer := struct {
-		Header    header `json:"header"`
-		Succeeded bool   `json:"succeeded"`
-	}{Succeeded: kv.holds(message)}
+		Header    responseHeader `json:"header"`
+		Succeeded bool           `json:"succeeded"`
+	}{Succeeded: kv.matches(message)}
 	if answer.Succeeded {
 		kv.put(message)
 	}
@@ -255,7 +255,7 @@
 	writeJSON(w, answer)
 }
 
-func (kv *KeyValue) holds(message txnMessage) bool {
+func (kv *KeyValue) matches(message txnRequest) bool {
 	for _, compare := range message.Compare {
 		if kv.pairs[string(compare.Key)].ModRevision != compare.ModRevision {
 			return false
@@ -264,7 +264,7 @@
 	return true
 }
 
-func (kv *KeyValue) put(message txnMessage) {
+func (kv *KeyValue) put(message txnRequest) {
 	kv.revision++
 	for _, operation := range message.Success {
 		put := operation.Put
@@ -323,7 +323,7 @@
 		return
 	}
 	kv.mu.Lock()
-	kv.drop(message.ID)
+	kv.removeLease(message.ID)
 	kv.mu.Unlock()
 	writeJSON(w, struct{}{})
 }
@@ -340,7 +340,7 @@
 	}
 	writeJSON(w, map[string]any{"result": map[string]any{"created": true}})
 	_ = http.NewResponseController(w).Flush()
-	held, ok := kv.await(r.Context(), string(message.Create.Key), message.Create.StartRevision)
+	held, ok := kv.waitForChange(r.Context(), string(message.Create.Key), message.Create.StartRevision)
 	if !ok {
 		return
 	}
@@ -348,10 +348,10 @@
 	writeJSON(w, map[string]any{"result": map[string]any{"events": []any{event}}})
 }
 
-// leasePoll is how often a watch looks for leases that ran out.
-const leasePoll = 200 * time.Millisecond
+// leasePollInterval is how often a watch looks for leases that ran out.
+const leasePollInterval = 200 * time.Millisecond
 
-func (kv *KeyValue) await(ctx context.Context, key string, start int64) (pair, bool) {
+func (kv *KeyValue) waitForChange(ctx context.Context, key string, start int64) (pair, bool) {
 	kv.mu.Lock()
 	_, existed := kv.pairs[key]
 	kv.mu.Unlock()
@@ -366,7 +366,7 @@
 		}
 		select {
 		case <-changed:
-		case <-kv.clock.After(leasePoll):
+		case <-kv.clock.After(leasePollInterval):
 		case <-ctx.Done():
 			return pair{}, false
 		}
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -29,9 +29,9 @@
 	handler http.Handler
 	limiter *rate.Limiter
 
-	mu    sync.Mutex
-	repos map[string]*repository
-	sent  int64
+	mu        sync.Mutex
+	repos     map[string]*repository
+	bytesSent int64
 }
 
 type repository struct {
@@ -55,7 +55,7 @@
 	mux.HandleFunc("GET /v2/{name}/tags/list", r.serveTags)
 	mux.HandleFunc("GET /v2/{name}/manifests/{reference}", r.serveManifest)
 	mux.HandleFunc("GET /v2/{name}/blobs/{digest}", r.serveBlob)
-	r.handler = r.wrap(clock, mux)
+	r.handler = r.withFaults(clock, mux)
 	return r
 }
 
@@ -64,11 +64,11 @@
 	r.handler.ServeHTTP(w, request)
 }
 
-// Sent returns the bytes of blob ranges sent so far.
-func (r *Registry) Sent() int64 {
+// BytesSent returns the bytes of blob ranges sent so far.
+func (r *Registry) BytesSent() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sent
+	return r.bytesSent
 }
 
 // NamedFile is a file to publish: its content, or the path of a real file.
@@ -218,18 +218,18 @@
 		defer func() { _ = file.Close() }()
 		content = file
 	}
-	http.ServeContent(&pacedWriter{ResponseWriter: w, registry: r, request: request}, request, "", time.Time{}, content)
+	http.ServeContent(&rateLimitedWriter{ResponseWriter: w, registry: r, request: request}, request, "", time.Time{}, content)
 }
 
-// pacedWriter sends no faster than the registry's limit.
-type pacedWriter struct {
+// rateLimitedWriter sends no faster than the registry's limit.
+type rateLimitedWriter struct {
 	http.ResponseWriter
 	registry *Registry
 	request  *http.Request
 }
 
 // Write sends data in pieces that fit the limiter's burst.
-func (p *pacedWriter) Write(data []byte) (int, error) {
+func (p *rateLimitedWriter) Write(data []byte) (int, error) {
 	sent := 0
 	for sent < len(data) {
 		size := min(len(data)-sent, p.registry.limiter.Burst())
@@ -242,7 +242,7 @@
 			return sent, err
 		}
 		p.registry.mu.Lock()
-		p.registry.sent += int64(n)
+		p.registry.bytesSent += int64(n)
 		p.registry.mu.Unlock()
 	}
 	return sent, nil
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -13,18 +13,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// closeOnly is a connection of which nothing is used but that it can be closed.
-type closeOnly struct {
+// closeRecorder is a connection of which nothing is used but that it can be closed.
+type closeRecorder struct {
 	net.Conn
 	closed bool
 }
 
-func (c *closeOnly) Close() error {
+func (c *closeRecorder) Close() error {
 	c.closed = true
 	return nil
 }
 
-func FuzzAnswer(f *testing.F) {
+func FuzzResponse(f *testing.F) {
 	archive, err := txtar.ParseFile("testdata/answers.txtar")
 	require.NoError(f, err)
 	require.NotEmpty(f, archive.Files)
@@ -35,28 +35,28 @@
 	}
 	f.Fuzz(func(t *testing.T, stream []byte, head bool) {
 		pool := NewPool(Options{
-			Clock: clockwork.NewFakeClock(), KeepPerServer: 1,
-			IsOwn: func(answer *http.Response, id string) bool { return answer.Header.Get("Id") == id },
+			Clock: clockwork.NewFakeClock(), MaxIdlePerServer: 1,
+			Matches: func(answer *http.Response, id string) bool { return answer.Header.Get("Id") == id },
 		})
-		raw := &closeOnly{}
+		raw := &closeRecorder{}
 		c := &conn{Conn: raw, pool: pool, address: "there", reader: bufio.NewReaderSize(bytes.NewReader(stream), bufferSize)}
 		request := &Request{ID: "1", Method: http.MethodPost}
 		if head {
 			request.Method = http.MethodHead
 		}
-		response, err := c.readOwn(request)
+		response, err := c.readMatching(request)
 		if err != nil {
 			return
 		}
 		checkHead(t, response)
-		answer := &Answer{Response: response, conn: c, sent: make(chan error, 1), keep: keepFor(response.Header)}
-		answer.sent <- nil
+		answer := &Response{Response: response, conn: c, writeResult: make(chan error, 1), keepAlive: keepAliveTimeout(response.Header)}
+		answer.writeResult <- nil
 		body, err := io.ReadAll(answer)
 		checkBody(t, answer, stream, body, err)
 		answer.Close()
 		if kept := len(pool.idle["there"]) == 1; kept == raw.closed {
 			t.Fatalf("kept is %v, closed is %v", kept, raw.closed)
-		} else if kept && (err != nil || response.Close || !answer.IsFramed()) {
+		} else if kept && (err != nil || response.Close || !answer.IsSelfDelimited()) {
 			t.Fatalf("a connection is kept whose answer has no certain end: %v", err)
 		}
 	})
@@ -74,7 +74,7 @@
 }
 
 // checkBody checks the body against what was sent.
-func checkBody(t *testing.T, answer *Answer, stream, body []byte, err error) {
+func checkBody(t *testing.T, answer *Response, stream, body []byte, err error) {
 	t.Helper()
 	if len(body) > len(stream) {
 		t.Fatalf("a body of %d bytes of %d", len(body), len(stream))
--- a/internal/upstream/answer.go
+++ b/internal/upstream/response.go
@@ -7,55 +7,55 @@
 	"time"
 )
 
-// Answer is the answer of a server. Its body has yet to be read.
-type Answer struct {
+// Response is the answer of a server. Its body has yet to be read.
+type Response struct {
 	*http.Response
 
 	conn *conn
 	stop func() bool
-	// keep is how long the connection may be used again after the answer.
-	keep time.Duration
-	// sent gives the result of writing the request.
-	sent  chan error
-	ended bool
+	// keepAlive is how long the connection may be used again after the answer.
+	keepAlive time.Duration
+	// writeResult gives the result of writing the request.
+	writeResult chan error
+	bodyRead    bool
 }
 
 // Read reads the body. io.EOF means that the body is whole.
-func (a *Answer) Read(buffer []byte) (int, error) {
+func (a *Response) Read(buffer []byte) (int, error) {
 	n, err := a.Body.Read(buffer)
 	if errors.Is(err, io.EOF) {
-		a.ended = true
+		a.bodyRead = true
 	}
 	return n, err
 }
 
-// IsFramed reports whether the end of the body shows by other means than the end
+// IsSelfDelimited reports whether the end of the body shows by other means than the end
 // of the connection.
-func (a *Answer) IsFramed() bool { return a.ContentLength >= 0 || len(a.TransferEncoding) > 0 }
+func (a *Response) IsSelfDelimited() bool { return a.ContentLength >= 0 || len(a.TransferEncoding) > 0 }
 
 // Close gives the connection back if the answer was read whole and the server
 // keeps it open, and closes it otherwise. An answer that was not read whole is given
 // up, and its connection reset.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	live := a.stop == nil || a.stop()
-	if !live || !a.ended {
+	if !live || !a.bodyRead {
 		a.conn.reset()
 		return
 	}
-	if a.Response.Close || !a.IsFramed() || !a.isSent() {
+	if a.Response.Close || !a.IsSelfDelimited() || !a.isRequestWritten() {
 		_ = a.conn.Close()
 		return
 	}
-	a.conn.until = a.conn.pool.options.Clock.Now().Add(a.keep)
-	a.conn.pool.keep(a.conn)
+	a.conn.reusableUntil = a.conn.pool.options.Clock.Now().Add(a.keepAlive)
+	a.conn.pool.putIdle(a.conn)
 }
 
-// isSent reports whether the request was written whole. A server may answer
+// isRequestWritten reports whether the request was written whole. A server may answer
 // before it has read a long body; what comes next on such a connection would be
 // taken for the rest of it.
-func (a *Answer) isSent() bool {
+func (a *Response) isRequestWritten() bool {
 	select {
-	case err := <-a.sent:
+	case err := <-a.writeResult:
 		return err == nil
 	default:
 		return false
@@ -67,20 +67,20 @@
 func drain(response *http.Response) error {
 	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, drainLimit+1))
 	if n > drainLimit {
-		return errStrayTooLong
+		return errMismatchedTooLong
 	}
 	return errors.Join(err, response.Body.Close())
 }
 
-// errStrayTooLong reports an answer to another request that is longer than drainLimit.
-var errStrayTooLong = errors.New("answer to another request is too long")
+// errMismatchedTooLong reports an answer to another request that is longer than drainLimit.
+var errMismatchedTooLong = errors.New("answer to another request is too long")
 
 // drainLimit bounds an answer that is thrown away, in bytes.
 const drainLimit = 1 << 20
 
 // Discard reads the rest of a short answer and closes it, so that the connection
 // can be kept.
-func (a *Answer) Discard() {
+func (a *Response) Discard() {
 	if _, err := io.Copy(io.Discard, io.LimitReader(a, discardLimit)); err == nil {
 		// The reader has met the end unless the answer is longer.
 		_, _ = a.Read(make([]byte, 1))
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -37,9 +37,9 @@
 // ErrNotSent reports that no byte of the request reached the server.
 var ErrNotSent = errors.New("request was not sent")
 
-// ErrNoAnswer reports a request that was sent and got no valid answer: it may
+// ErrNoResponse reports a request that was sent and got no valid answer: it may
 // have run.
-var ErrNoAnswer = errors.New("no answer came")
+var ErrNoResponse = errors.New("no answer came")
 
 // MayHaveRun reports whether a request that ended with the error may have run.
 func MayHaveRun(err error) bool { return !errors.Is(err, ErrNotSent) }
@@ -48,35 +48,35 @@
 	// dialTimeout bounds opening a connection. It is many round trips on any
 	// link between boxes, and short against a caller's patience.
 	dialTimeout = 400 * time.Millisecond
-	// silenceTimeout ends a connection whose peer does not acknowledge what was
+	// userTimeout ends a connection whose peer does not acknowledge what was
 	// sent, as a box without power does.
-	silenceTimeout = 2 * time.Second
+	userTimeout = 2 * time.Second
 	// bufferSize is that of each direction of a connection, in bytes; an event
 	// of a stream takes a few hundred.
 	bufferSize = 4 << 10
-	// idleLimit is how long a connection is kept unused where the server does
+	// defaultIdleTimeout is how long a connection is kept unused where the server does
 	// not say.
-	idleLimit = 4 * time.Second
-	// inlineBody is the size up to which a body is written before the answer is
+	defaultIdleTimeout = 4 * time.Second
+	// maxInlineBody is the size up to which a body is written before the answer is
 	// read, in bytes; it fits the windows of any link.
-	inlineBody = 16 << 10
-	// strayAnswers bounds the answers to other requests that are thrown away on
+	maxInlineBody = 16 << 10
+	// maxMismatchedResponses bounds the answers to other requests that are thrown away on
 	// one connection.
-	strayAnswers = 2
+	maxMismatchedResponses = 2
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of Linux (RFC 5482).
-const tcpUserTimeout = 0x12
+// sockoptUserTimeout is TCP_USER_TIMEOUT of Linux (RFC 5482).
+const sockoptUserTimeout = 0x12
 
 // Options are the parts that a pool works with.
 type Options struct {
 	Clock clockwork.Clock
-	// IsOwn reports whether an answer belongs to the request with the id.
-	IsOwn func(answer *http.Response, id string) bool
-	// KeepPerServer bounds the unused connections kept to one server.
-	KeepPerServer int
-	// Opened is called for each new connection.
-	Opened func()
+	// Matches reports whether an answer belongs to the request with the id.
+	Matches func(answer *http.Response, id string) bool
+	// MaxIdlePerServer bounds the unused connections kept to one server.
+	MaxIdlePerServer int
+	// OnConnect is called for each new connection.
+	OnConnect func()
 }
 
 // Pool opens and keeps connections. It is safe for concurrent use.
@@ -92,33 +92,33 @@
 func NewPool(options Options) *Pool {
 	return &Pool{
 		options: options,
-		dialer:  net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: SetSilenceTimeout},
+		dialer:  net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: SetUserTimeout},
 		idle:    make(map[member.Address][]*conn),
 	}
 }
 
 const (
-	// probeInterval is how long a connection on which nothing is sent rests before its peer is
+	// keepAliveInterval is how long a connection on which nothing is sent rests before its peer is
 	// asked for a sign of life, and the time between two such questions.
-	probeInterval = time.Second
-	// probes is how many of them stay unanswered on a connection that has gone silent.
-	probes = 2
+	keepAliveInterval = time.Second
+	// keepAliveProbes is how many of them stay unanswered on a connection that has gone silent.
+	keepAliveProbes = 2
 )
 
 // NewDialer returns a dialer whose connections fail soon after their peer has fallen
 // silent, also while nothing is sent on them. The time-out bounds opening one.
 func NewDialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
-		Timeout: timeout, Control: SetSilenceTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probes},
+		Timeout: timeout, Control: SetUserTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
 	}
 }
 
-// SetSilenceTimeout makes a socket fail soon after its peer has fallen silent.
-func SetSilenceTimeout(_, _ string, raw syscall.RawConn) error {
+// SetUserTimeout makes a socket fail soon after its peer has fallen silent.
+func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var problem error
 	err := raw.Control(func(fd uintptr) {
-		problem = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(silenceTimeout.Milliseconds()))
+		problem = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, sockoptUserTimeout, int(userTimeout.Milliseconds()))
 	})
 	return errors.Join(err, problem)
 }
@@ -130,8 +130,8 @@
 	address member.Address
 	reader  *bufio.Reader
 	writer  *bufio.Writer
-	// until is when the connection may no longer be taken for another request.
-	until time.Time
+	// reusableUntil is when the connection may no longer be taken for another request.
+	reusableUntil time.Time
 }
 
 // Request is one attempt.
@@ -144,75 +144,75 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Check is asked once there is a connection, which may take as long as dialTimeout; an error
+	// BeforeSend is asked once there is a connection, which may take as long as dialTimeout; an error
 	// keeps the request from being sent. nil if it may be sent in any case.
-	Check func() error
-	// Heard is called with the head of every answer that the server gives while the attempt lasts, also an
+	BeforeSend func() error
+	// OnResponse is called with the head of every answer that the server gives while the attempt lasts, also an
 	// interim one and one to another request: what a server says of itself holds whatever becomes of the
 	// request. It must not block nor read the body. nil if nobody listens.
-	Heard func(head *http.Response)
+	OnResponse func(head *http.Response)
 }
 
 // Send makes one attempt and returns the answer's head. The answer must be
 // closed. The context's end resets the connection, also while the body is
-// read. Errors wrap ErrNotSent or ErrNoAnswer.
-func (p *Pool) Send(ctx context.Context, request *Request) (*Answer, error) {
-	c, err := p.take(ctx, request.Address)
+// read. Errors wrap ErrNotSent or ErrNoResponse.
+func (p *Pool) Send(ctx context.Context, request *Request) (*Response, error) {
+	c, err := p.acquire(ctx, request.Address)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	if err := request.check(ctx); err != nil {
-		c.giveBack()
+	if err := request.beforeSend(ctx); err != nil {
+		c.release()
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	answer := &Answer{conn: c, sent: make(chan error, 1)}
+	answer := &Response{conn: c, writeResult: make(chan error, 1)}
 	answer.stop = context.AfterFunc(ctx, c.reset)
-	if len(request.Body) <= inlineBody {
+	if len(request.Body) <= maxInlineBody {
 		if err := c.write(request); err != nil {
 			answer.Close()
-			return nil, fmt.Errorf("%w: %w", ErrNoAnswer, err)
+			return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 		}
-		answer.sent <- nil
+		answer.writeResult <- nil
 	} else {
-		go func() { answer.sent <- c.write(request) }()
+		go func() { answer.writeResult <- c.write(request) }()
 	}
-	answer.Response, err = c.readOwn(request) //nolint:bodyclose // Answer.Close ends it
+	answer.Response, err = c.readMatching(request) //nolint:bodyclose // Answer.Close ends it
 	if err != nil {
 		answer.Close()
-		return nil, fmt.Errorf("%w: %w", ErrNoAnswer, err)
+		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
-	answer.keep = keepFor(answer.Header)
+	answer.keepAlive = keepAliveTimeout(answer.Header)
 	return answer, nil
 }
 
-// check returns why the request must not be sent; nil if it may.
-func (r *Request) check(ctx context.Context) error {
+// beforeSend returns why the request must not be sent; nil if it may.
+func (r *Request) beforeSend(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if r.Check == nil {
+	if r.BeforeSend == nil {
 		return nil
 	}
-	return r.Check()
+	return r.BeforeSend()
 }
 
-// giveBack ends the use of a connection on which nothing was sent.
-func (c *conn) giveBack() {
-	if c.until.IsZero() {
+// release ends the use of a connection on which nothing was sent.
+func (c *conn) release() {
+	if c.reusableUntil.IsZero() {
 		_ = c.Close()
 		return
 	}
-	c.pool.keep(c)
+	c.pool.putIdle(c)
 }
 
-// take returns a kept connection that is still sound, else a new one.
-func (p *Pool) take(ctx context.Context, address member.Address) (*conn, error) {
+// acquire returns a kept connection that is still sound, else a new one.
+func (p *Pool) acquire(ctx context.Context, address member.Address) (*conn, error) {
 	for {
-		c := p.pop(address)
+		c := p.popIdle(address)
 		if c == nil {
 			break
 		}
-		if p.options.Clock.Now().Before(c.until) && c.isQuiet() {
+		if p.options.Clock.Now().Before(c.reusableUntil) && c.isReusable() {
 			return c, nil
 		}
 		_ = c.Close()
@@ -227,8 +227,8 @@
 	if err != nil {
 		return err
 	}
-	c.until = p.options.Clock.Now().Add(idleLimit)
-	p.keep(c)
+	c.reusableUntil = p.options.Clock.Now().Add(defaultIdleTimeout)
+	p.putIdle(c)
 	return nil
 }
 
@@ -238,8 +238,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.options.Opened != nil {
-		p.options.Opened()
+	if p.options.OnConnect != nil {
+		p.options.OnConnect()
 	}
 	return &conn{
 		Conn: raw, pool: p, address: address,
@@ -247,7 +247,7 @@
 	}, nil
 }
 
-func (p *Pool) pop(address member.Address) *conn {
+func (p *Pool) popIdle(address member.Address) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[address]
@@ -259,19 +259,19 @@
 	return c
 }
 
-// keep takes a connection back whose answer was read to its end.
-func (p *Pool) keep(c *conn) {
+// putIdle takes a connection back whose answer was read to its end.
+func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.address]) >= p.options.KeepPerServer {
+	if len(p.idle[c.address]) >= p.options.MaxIdlePerServer {
 		_ = c.Close()
 		return
 	}
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Forget closes the kept connections to an address whose server has gone.
-func (p *Pool) Forget(address member.Address) {
+// CloseIdle closes the kept connections to an address whose server has gone.
+func (p *Pool) CloseIdle(address member.Address) {
 	p.mu.Lock()
 	kept := p.idle[address]
 	delete(p.idle, address)
@@ -293,9 +293,9 @@
 	_ = c.Close()
 }
 
-// isQuiet reports whether the server has neither closed the connection nor sent
+// isReusable reports whether the server has neither closed the connection nor sent
 // anything on it since the last answer.
-func (c *conn) isQuiet() bool {
+func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -333,14 +333,14 @@
 	return w.Flush()
 }
 
-// readOwn reads the answer to the request, past answers to other ones.
-func (c *conn) readOwn(request *Request) (*http.Response, error) {
-	for range strayAnswers + 1 {
+// readMatching reads the answer to the request, past answers to other ones.
+func (c *conn) readMatching(request *Request) (*http.Response, error) {
+	for range maxMismatchedResponses + 1 {
 		response, err := c.readFinal(request)
 		if err != nil {
 			return nil, err
 		}
-		if c.pool.options.IsOwn(response, request.ID) {
+		if c.pool.options.Matches(response, request.ID) {
 			return response, nil
 		}
 		if err := drain(response); err != nil {
@@ -357,8 +357,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if request.Heard != nil {
-			request.Heard(response)
+		if request.OnResponse != nil {
+			request.OnResponse(response)
 		}
 		if response.StatusCode >= http.StatusOK || response.StatusCode == http.StatusSwitchingProtocols {
 			return response, nil
@@ -366,14 +366,14 @@
 	}
 }
 
-// keepFor reads how long the server leaves the connection open, and takes four
+// keepAliveTimeout reads how long the server leaves the connection open, and takes four
 // fifths of it, so that a request does not cross its close.
-func keepFor(header http.Header) time.Duration {
+func keepAliveTimeout(header http.Header) time.Duration {
 	for value := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, text, _ := strings.Cut(strings.TrimSpace(value), "=")
 		if seconds, err := strconv.Atoi(text); err == nil && strings.EqualFold(name, "timeout") {
 			return time.Duration(seconds) * time.Second * 4 / 5
 		}
 	}
-	return idleLimit
+	return defaultIdleTimeout
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -18,8 +18,8 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// rawServer answers each connection with a function.
-func rawServer(t *testing.T, serve func(conn net.Conn, reader *bufio.Reader)) member.Address {
+// startRawServer answers each connection with a function.
+func startRawServer(t *testing.T, serve func(conn net.Conn, reader *bufio.Reader)) member.Address {
 	t.Helper()
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -42,8 +42,8 @@
 
 func newTestPool(opened *atomic.Int32) *Pool {
 	return NewPool(Options{
-		Clock: clockwork.NewRealClock(), KeepPerServer: 4, Opened: func() { opened.Add(1) },
-		IsOwn: func(answer *http.Response, id string) bool { return answer.Header.Get("Id") == id },
+		Clock: clockwork.NewRealClock(), MaxIdlePerServer: 4, OnConnect: func() { opened.Add(1) },
+		Matches: func(answer *http.Response, id string) bool { return answer.Header.Get("Id") == id },
 	})
 }
 
@@ -69,18 +69,18 @@
 	return request.Header.Get("Id"), err
 }
 
-func answerTo(id, body string) string {
+func responseTo(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func TestAConnectionIsUsedAgain(t *testing.T) {
-	address := rawServer(t, func(conn net.Conn, reader *bufio.Reader) {
+func TestConnectionIsReused(t *testing.T) {
+	address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
 			id, err := readRequest(reader)
 			if err != nil {
 				return
 			}
-			_, _ = io.WriteString(conn, answerTo(id, "hello "+id))
+			_, _ = io.WriteString(conn, responseTo(id, "hello "+id))
 		}
 	})
 	var opened atomic.Int32
@@ -94,10 +94,10 @@
 	require.EqualValues(t, 1, opened.Load())
 }
 
-func TestALateSecondAnswerIsNotTakenForTheNextOne(t *testing.T) {
+func TestLateDuplicateResponseIsNotUsedForNextRequest(t *testing.T) {
 	for _, extra := range []string{"before", "after"} {
 		requests := atomic.Int32{}
-		address := rawServer(t, func(conn net.Conn, reader *bufio.Reader) {
+		address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
 			previous := ""
 			for {
 				id, err := readRequest(reader)
@@ -107,11 +107,11 @@
 				requests.Add(1)
 				// "before": the late answer comes where the next one is due.
 				if extra == "before" && previous != "" {
-					_, _ = io.WriteString(conn, answerTo(previous, "late"))
+					_, _ = io.WriteString(conn, responseTo(previous, "late"))
 				}
-				_, _ = io.WriteString(conn, answerTo(id, "own "+id))
+				_, _ = io.WriteString(conn, responseTo(id, "own "+id))
 				if extra == "after" {
-					_, _ = io.WriteString(conn, answerTo(id, "second"))
+					_, _ = io.WriteString(conn, responseTo(id, "second"))
 				}
 				previous = id
 			}
@@ -128,9 +128,9 @@
 	}
 }
 
-func TestARequestWhoseConnectionIsResetIsNotSentAgain(t *testing.T) {
+func TestRequestIsNotResentAfterConnectionReset(t *testing.T) {
 	requests := atomic.Int32{}
-	address := rawServer(t, func(conn net.Conn, reader *bufio.Reader) {
+	address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		if _, err := readRequest(reader); err == nil {
 			requests.Add(1)
 		}
@@ -138,12 +138,12 @@
 	})
 	var opened atomic.Int32
 	_, err := send(t, newTestPool(&opened), address, "1")
-	require.ErrorIs(t, err, ErrNoAnswer)
+	require.ErrorIs(t, err, ErrNoResponse)
 	require.True(t, MayHaveRun(err))
 	require.EqualValues(t, 1, requests.Load())
 }
 
-func TestADeadPortWasSurelyNotSentTo(t *testing.T) {
+func TestRefusedConnectionMeansRequestWasNotSent(t *testing.T) {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -154,23 +154,23 @@
 	require.False(t, MayHaveRun(err))
 }
 
-func TestBytesThatAreNoAnswerAreNone(t *testing.T) {
-	address := rawServer(t, func(conn net.Conn, reader *bufio.Reader) {
+func TestMalformedResponseIsRejected(t *testing.T) {
+	address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		if _, err := readRequest(reader); err == nil {
 			_, _ = io.WriteString(conn, "garbage garbage\r\n\r\n")
 		}
 	})
 	var opened atomic.Int32
 	_, err := send(t, newTestPool(&opened), address, "1")
-	require.ErrorIs(t, err, ErrNoAnswer)
+	require.ErrorIs(t, err, ErrNoResponse)
 }
 
-func TestAnAnswerThatIsCutShortIsNotWhole(t *testing.T) {
+func TestTruncatedResponseIsReported(t *testing.T) {
 	for name, text := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 50\r\n\r\nshort",
 		"chunked": "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n",
 	} {
-		address := rawServer(t, func(conn net.Conn, reader *bufio.Reader) {
+		address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
 			if _, err := readRequest(reader); err == nil {
 				_, _ = io.WriteString(conn, text)
 			}
@@ -183,13 +183,13 @@
 
 // A server may answer before it has read a long body. What is sent next on such a
 // connection would be taken for the rest of it.
-func TestAConnectionWithAnUnreadBodyIsNotUsedAgain(t *testing.T) {
-	address := rawServer(t, func(conn net.Conn, reader *bufio.Reader) {
+func TestConnectionWithUnreadRequestBodyIsNotReused(t *testing.T) {
+	address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, answerTo(request.Header.Get("Id"), "early"))
+		_, _ = io.WriteString(conn, responseTo(request.Header.Get("Id"), "early"))
 		// The body is never read; the connection stays open.
 		_, _ = io.Copy(io.Discard, io.LimitReader(conn, 1))
 		select {}
@@ -210,9 +210,9 @@
 	require.EqualValues(t, 2, opened.Load())
 }
 
-func TestTheEndOfTheContextBreaksTheConnectionOff(t *testing.T) {
+func TestCanceledContextClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
-	address := rawServer(t, func(conn net.Conn, reader *bufio.Reader) {
+	address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		_, _ = readRequest(reader)
 		_, _ = conn.Read(make([]byte, 1))
 		close(closed)
@@ -229,8 +229,8 @@
 
 // The server says how long it leaves the connection open; that holds also when the
 // headers of the answer have been changed for the caller meanwhile.
-func TestAConnectionIsNotUsedAgainAfterTheTimeThatTheServerGave(t *testing.T) {
-	address := rawServer(t, func(conn net.Conn, reader *bufio.Reader) {
+func TestConnectionIsNotReusedAfterKeepAliveTimeout(t *testing.T) {
+	address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
 			id, err := readRequest(reader)
 			if err != nil {
@@ -250,7 +250,7 @@
 			Address: address, ID: id, Method: http.MethodGet, Target: "/", Host: "a", Header: http.Header{"Id": {id}},
 		})
 		require.NoError(t, err)
-		RemoveConnectionHeaders(answer.Header)
+		RemoveHopByHopHeaders(answer.Header)
 		_, err = io.ReadAll(answer)
 		require.NoError(t, err)
 		answer.Close()
@@ -260,33 +260,33 @@
 
 // An answer to another request was read to its end, however long it was, while the caller waited
 // for its own.
-func TestALongAnswerToAnotherRequestEndsTheConnection(t *testing.T) {
-	address := rawServer(t, func(conn net.Conn, reader *bufio.Reader) {
+func TestLongMismatchedResponseClosesConnection(t *testing.T) {
+	address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		id, err := readRequest(reader)
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, answerTo("another", strings.Repeat("x", drainLimit+1)))
-		_, _ = io.WriteString(conn, answerTo(id, "late"))
+		_, _ = io.WriteString(conn, responseTo("another", strings.Repeat("x", drainLimit+1)))
+		_, _ = io.WriteString(conn, responseTo(id, "late"))
 	})
 	var opened atomic.Int32
 	_, err := send(t, newTestPool(&opened), address, "1")
-	require.ErrorIs(t, err, ErrNoAnswer)
-	require.ErrorIs(t, err, errStrayTooLong)
+	require.ErrorIs(t, err, ErrNoResponse)
+	require.ErrorIs(t, err, errMismatchedTooLong)
 }
 
 // An attempt that had been given up before it was sent went out all the same if there was a kept
 // connection, and counted as one that may have run.
-func TestAnAttemptThatIsGivenUpBeforeItIsSentIsNotSent(t *testing.T) {
+func TestCanceledRequestIsNotSentOnIdleConnection(t *testing.T) {
 	var served atomic.Int32
-	address := rawServer(t, func(conn net.Conn, reader *bufio.Reader) {
+	address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
 			id, err := readRequest(reader)
 			if err != nil {
 				return
 			}
 			served.Add(1)
-			_, _ = io.WriteString(conn, answerTo(id, "hello"))
+			_, _ = io.WriteString(conn, responseTo(id, "hello"))
 		}
 	})
 	var opened atomic.Int32
@@ -304,8 +304,8 @@
 }
 
 // What a server says of itself was read from the answer to the own request alone.
-func TestEveryHeadOnTheConnectionIsHeard(t *testing.T) {
-	address := rawServer(t, func(conn net.Conn, reader *bufio.Reader) {
+func TestOnResponseIsCalledForEveryResponse(t *testing.T) {
+	address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		_, _ = http.ReadRequest(reader)
 		for _, head := range []string{
 			"HTTP/1.1 103 Early Hints\r\nWord: interim\r\n\r\n",
@@ -318,7 +318,7 @@
 	var heard []string
 	answer, err := newTestPool(new(atomic.Int32)).Send(t.Context(), &Request{
 		Address: address, ID: "a", Method: http.MethodGet, Target: "/x", Host: "a.example",
-		Heard: func(head *http.Response) { heard = append(heard, head.Header.Get("Word")) },
+		OnResponse: func(head *http.Response) { heard = append(heard, head.Header.Get("Word")) },
 	})
 	require.NoError(t, err)
 	defer answer.Close()
--- a/internal/virtual/timeline.go
+++ b/internal/virtual/timeline.go
@@ -16,9 +16,9 @@
 // event is something that happens at a moment of virtual time.
 type event struct {
 	at time.Duration
-	// order keeps events of one moment in the order in which they were planned.
-	order uint64
-	run   func()
+	// sequence keeps events of one moment in the order in which they were planned.
+	sequence uint64
+	run      func()
 }
 
 type events []event
@@ -26,7 +26,7 @@
 func (e events) Len() int { return len(e) }
 
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
@@ -45,9 +45,9 @@
 // Timeline runs events in the order of virtual time. Its zero value is at the beginning.
 // It is not safe for concurrent use.
 type Timeline struct {
-	events  events
-	order   uint64
-	elapsed time.Duration
+	events   events
+	sequence uint64
+	elapsed  time.Duration
 }
 
 // Epoch is when virtual time begins; any moment serves.
@@ -59,10 +59,10 @@
 // Elapsed is how much virtual time has passed.
 func (l *Timeline) Elapsed() time.Duration { return l.elapsed }
 
-// After plans something.
-func (l *Timeline) After(wait time.Duration, run func()) {
-	l.order++
-	heap.Push(&l.events, event{at: l.elapsed + max(0, wait), order: l.order, run: run})
+// AfterFunc plans something.
+func (l *Timeline) AfterFunc(wait time.Duration, run func()) {
+	l.sequence++
+	heap.Push(&l.events, event{at: l.elapsed + max(0, wait), sequence: l.sequence, run: run})
 }
 
 // Step runs the next event, if there is one until a moment.
--- a/internal/virtual/timeline_test.go
+++ b/internal/virtual/timeline_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEventsRunInTheOrderOfTheirTimesAndOfPlanning(t *testing.T) {
+func TestEventsRunInOrderOfTimeThenScheduling(t *testing.T) {
 	var line Timeline
 	var ran []string
 	note := func(name string) func() { return func() { ran = append(ran, name) } }
-	line.After(2*time.Second, note("late"))
-	line.After(time.Second, func() {
+	line.AfterFunc(2*time.Second, note("late"))
+	line.AfterFunc(time.Second, func() {
 		note("first")()
-		line.After(-time.Second, note("planned in the past"))
+		line.AfterFunc(-time.Second, note("planned in the past"))
 	})
-	line.After(time.Second, note("second"))
+	line.AfterFunc(time.Second, note("second"))
 	line.Run(1500 * time.Millisecond)
 	require.Equal(t, []string{"first", "second", "planned in the past"}, ran)
 	require.Equal(t, Epoch.Add(1500*time.Millisecond), line.Now())
--- a/pkg/route/limit.go
+++ b/pkg/route/limit.go
@@ -14,7 +14,7 @@
 // the same token again; the bucket then goes negative and all boxes wait until it is refilled. The limit therefore holds over any
 // period longer than the reporting delay, and needs neither the number of boxes nor synchronized clocks.
 
-// ErrLimited reports that a server whose rate limit was set or lowered after the place was reserved has no token available.
+// ErrRateLimited reports that a server whose rate limit was set or lowered after the place was reserved has no token available.
 var ErrLimited = errors.New("server rate limit reached")
 
 const (
@@ -138,7 +138,7 @@
 }
 
 // checkLimit takes a token if the server's rate limit was set or lowered since the last token was taken for the reservation. It
-// returns ErrLimited if none is available.
+// returns ErrRateLimited if none is available.
 func (r *Reservation) checkLimit(now time.Time) error {
 	bucket := r.dispatcher.buckets[r.Server.ID]
 	if bucket == nil || r.tokenRate > 0 && r.tokenRate <= bucket.rate {
