--- a/internal/direct/servers.go
+++ b/internal/direct/agentfollower.go
@@ -17,37 +17,37 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// ModelServers follows the agents beside the model servers.
-type ModelServers struct {
-	facts    *Facts
-	suspects *Suspects
-	peers    *daemon.Peers
+// AgentFollower follows the agents beside the model servers.
+type AgentFollower struct {
+	fleetState *FleetState
+	suspects   *SuspectRequests
+	peers      *daemon.Peers
 	// entries tell which servers are those of the own cell.
 	entries *EntryBoxes
 	clock   clockwork.Clock
 	log     zerolog.Logger
-	duties  *kernel.TaskGroup
+	tasks   *kernel.TaskGroup
 	self    string
 	port    uint16
-	// state is called with what an agent tells of the server at an address.
-	state func(address member.Address, state route.ServerState, now time.Time)
+	// onState is called with what an agent tells of the server at an address.
+	onState func(address member.Address, state route.ServerState, now time.Time)
 }
 
-// startServers follows the agents.
-func (p *Process) startServers() error {
-	m := &ModelServers{
-		facts: p.facts, suspects: p.suspects, peers: p.peers, entries: p.entries, clock: p.options.Clock, log: p.options.Log, duties: kernel.NewTaskGroup(),
-		self: p.settings.Box, port: uint16(p.settings.Direct.AgentPort), state: p.front.ServerState,
+// startAgentFollower follows the agents.
+func (p *Process) startAgentFollower() error {
+	m := &AgentFollower{
+		fleetState: p.fleetState, suspects: p.suspects, peers: p.peers, entries: p.entries, clock: p.options.Clock, log: p.options.Log, tasks: kernel.NewTaskGroup(),
+		self: p.settings.Box, port: uint16(p.settings.Direct.AgentPort), onState: p.callerServer.UpdateServerState,
 	}
-	m.duties.Go(m.followAll)
-	return p.kernel.Register(m)
+	m.tasks.Go(m.followAll)
+	return p.services.Register(m)
 }
 
 // String returns the service's name.
-func (m *ModelServers) String() string { return "model-servers" }
+func (m *AgentFollower) String() string { return "model-servers" }
 
 // Stop ends following.
-func (m *ModelServers) Stop(ctx context.Context) error { return m.duties.Stop(ctx) }
+func (m *AgentFollower) Stop(ctx context.Context) error { return m.tasks.Stop(ctx) }
 
 // agentAddress is where the agent beside a backend server is reached.
 func agentAddress(server member.Address, port uint16) (member.Address, bool) {
@@ -59,16 +59,16 @@
 }
 
 // followAll keeps a duty for each model server of the list.
-func (m *ModelServers) followAll(ctx context.Context) {
+func (m *AgentFollower) followAll(ctx context.Context) {
 	following := make(map[member.Address]context.CancelFunc)
 	for {
-		changed, replanned := m.facts.Changed(), m.entries.Replanned()
-		listed := m.listed()
+		changed, replanned := m.fleetState.Changed(), m.entries.Replanned()
+		listed := m.cellServers()
 		for address := range listed {
 			if following[address] == nil {
 				followCtx, cancel := context.WithCancel(ctx)
 				following[address] = cancel
-				m.duties.Go(func(context.Context) { m.follow(followCtx, address) })
+				m.tasks.Go(func(context.Context) { m.follow(followCtx, address) })
 			}
 		}
 		for address, cancel := range following {
@@ -89,15 +89,15 @@
 	}
 }
 
-// listed returns the addresses of the model servers of the own cell.
-func (m *ModelServers) listed() map[member.Address]bool {
-	view, plan := m.facts.View(), m.entries.currentPlan()
+// cellServers returns the addresses of the model servers of the own cell.
+func (m *AgentFollower) cellServers() map[member.Address]bool {
+	view, plan := m.fleetState.View(), m.entries.currentPlan()
 	listed := make(map[member.Address]bool)
 	for _, service := range view.Services() {
 		if service.Engine == nil {
 			continue
 		}
-		for _, server := range plan.owned(view.Servers(service.Name)) {
+		for _, server := range plan.ownServers(view.Servers(service.Name)) {
 			listed[server.Address] = true
 		}
 	}
@@ -105,7 +105,7 @@
 }
 
 // follow takes the states that one agent tells.
-func (m *ModelServers) follow(ctx context.Context, server member.Address) {
+func (m *AgentFollower) follow(ctx context.Context, server member.Address) {
 	agent, ok := agentAddress(server, m.port)
 	if !ok {
 		m.log.Error().Str("address", string(server)).Msg("server's address has no IP address and port")
@@ -114,16 +114,16 @@
 	for ctx.Err() == nil {
 		heard, err := m.followOnce(ctx, server, agent)
 		if heard && errors.Is(err, errSilent) && ctx.Err() == nil {
-			m.state(server, route.ServerState{Silent: true}, m.clock.Now())
+			m.onState(server, route.ServerState{Silent: true}, m.clock.Now())
 		}
-		sleep(ctx, m.clock, followRetry)
+		sleep(ctx, m.clock, followRetryDelay)
 	}
 }
 
 // followOnce follows an agent until its stream ends, and tells whether it was heard.
-func (m *ModelServers) followOnce(ctx context.Context, server, agent member.Address) (heard bool, err error) {
+func (m *AgentFollower) followOnce(ctx context.Context, server, agent member.Address) (heard bool, err error) {
 	// The agent's box is named by its first message only.
-	box, told := "", serverWord{}
+	box, told := "", agentReport{}
 	return followStream(ctx, m.clock, m.peers, m.log, &peerStream[*wire.ServerStatus]{
 		dependency: "agent", address: agent,
 		open: func(ctx context.Context, client wire.DRPCFleetClient) (func() (*wire.ServerStatus, error), error) {
@@ -133,31 +133,31 @@
 			}
 			return stream.Recv, nil
 		},
-		take: func(status *wire.ServerStatus) {
+		onMessage: func(status *wire.ServerStatus) {
 			if box == "" {
 				box = status.Box
 			}
-			m.facts.LearnVersions(agesFromWire(status.Ages), box)
-			m.suspects.Learn(evidenceFromWire(status.Evidence, m.clock.Now()), box)
-			if word := (serverWord{member.Incarnation(status.Incarnation), status.Leaving}); word.leaving || word != told {
+			m.fleetState.MergeVersionAges(agesFromWire(status.Ages), box)
+			m.suspects.MergeEvidence(evidenceFromWire(status.Evidence, m.clock.Now()), box)
+			if word := (agentReport{member.Incarnation(status.Incarnation), status.Leaving}); word.leaving || word != told {
 				// One that leaves is told again, as its entry may have come later.
 				told = word
-				m.facts.LearnServer(server, word.incarnation, word.leaving, box)
+				m.fleetState.MergeAgentReport(server, word.incarnation, word.leaving, box)
 			}
-			m.state(server, serverStateOf(status, m.clock.Now()), m.clock.Now())
+			m.onState(server, serverStateFromWire(status, m.clock.Now()), m.clock.Now())
 		},
-		regained: func(line *zerolog.Event, first *wire.ServerStatus) { line.Str("box", first.Box) },
-		lost:     func(line *zerolog.Event, err error) { line.Str("box", box).Bool("silent", errors.Is(err, errSilent)) },
+		regainedFields: func(line *zerolog.Event, first *wire.ServerStatus) { line.Str("box", first.Box) },
+		lostFields:     func(line *zerolog.Event, err error) { line.Str("box", box).Bool("silent", errors.Is(err, errSilent)) },
 	})
 }
 
-// serverWord is which start of a server its agent hears, and whether that leaves.
-type serverWord struct {
+// agentReport is which start of a server its agent hears, and whether that leaves.
+type agentReport struct {
 	incarnation member.Incarnation
 	leaving     bool
 }
 
-func serverStateOf(status *wire.ServerStatus, now time.Time) route.ServerState {
+func serverStateFromWire(status *wire.ServerStatus, now time.Time) route.ServerState {
 	state := route.ServerState{
 		Incarnation: member.Incarnation(status.Incarnation), Swapping: status.Swapping, Running: int(status.Running), Waiting: int(status.Waiting), Slowdown: status.Pace,
 	}
--- a/internal/direct/key_test.go
+++ b/internal/direct/apikey_test.go
@@ -18,8 +18,8 @@
 // lookRoute is a list of routes with one that leads to maps.
 const lookRoute = `[{"Name":"look","Host":"a.example","PathPrefix":"/look/","Type":"safe","Service":"maps"}]`
 
-// readFrom returns what a store tells in which the operators have written one configuration.
-func readFrom(t *testing.T, configuration string, revision fleet.Revision) provider.FactBatch {
+// factsFromStore returns what a store tells in which the operators have written one configuration.
+func factsFromStore(t *testing.T, configuration string, revision fleet.Revision) provider.FactBatch {
 	t.Helper()
 	store := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		answer := map[string]any{"at": revision}
@@ -37,10 +37,10 @@
 // admitted stands for a request that is admitted, which has no status yet.
 const admitted = 0
 
-// statusOf asks a box that believes some facts to admit a request.
-func statusOf(t *testing.T, facts *Facts, path, authorization string) int {
+// admitStatus asks a box that believes some facts to admit a request.
+func admitStatus(t *testing.T, facts *FleetState, path, authorization string) int {
 	t.Helper()
-	f := &Front{suspects: noSuspects(), answered: newAnsweredLately(), facts: facts, clock: facts.clock, log: zerolog.Nop(), metrics: NewMetrics()}
+	f := &CallerServer{suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: facts, clock: facts.clock, log: zerolog.Nop(), metrics: NewMetrics()}
 	request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, path, http.NoBody)
 	request.Host = "a.example"
 	if authorization != "" {
@@ -56,23 +56,23 @@
 
 // A key that was not text was read as the empty key. Callers without a key have that one too,
 // and passed as the organisation.
-func TestAKeyThatCannotBeReadLetsNobodyIn(t *testing.T) {
+func TestInvalidKeyAdmitsNobody(t *testing.T) {
 	for _, keys := range []string{`[7]`, `[{"key":"k"}]`, `[null]`, `[""]`, `[" "]`, `"k"`, `[7,"sound"]`} {
-		told := readFrom(t, `{"Version":4,"Routes":`+lookRoute+`,"Tenants":[{"Name":"kumiai","ApiKeys":`+keys+`}]}`, 3)
-		facts, _ := newTestFacts()
+		told := factsFromStore(t, `{"Version":4,"Routes":`+lookRoute+`,"Tenants":[{"Name":"kumiai","ApiKeys":`+keys+`}]}`, 3)
+		facts, _ := newTestFleetState()
 		facts.Apply(told.Facts, "store")
 		for _, authorization := range []string{"", "Bearer", "Bearer ", "Bearer  ", "Bearer \t", " ", "Bearer 7"} {
-			require.Equal(t, http.StatusUnauthorized, statusOf(t, facts, "/look/1", authorization), "keys %s, header %q", keys, authorization)
+			require.Equal(t, http.StatusUnauthorized, admitStatus(t, facts, "/look/1", authorization), "keys %s, header %q", keys, authorization)
 		}
 		require.Len(t, told.Errors, 1, keys)
 	}
 }
 
 // One key that can't be read takes no other one with it.
-func TestTheKeysBesideOneThatCannotBeReadCount(t *testing.T) {
+func TestValidKeysBesideInvalidKeyApply(t *testing.T) {
 	for _, keys := range []string{`[7,"k"]`, `["k",null]`, `["","k"," k"]`} {
-		facts, _ := newTestFacts()
-		facts.Apply(readFrom(t, `{"Version":4,"Routes":`+lookRoute+`,"Tenants":[{"Name":"kumiai","ApiKeys":`+keys+`}]}`, 3).Facts, "store")
-		require.Equal(t, admitted, statusOf(t, facts, "/look/1", "Bearer k"), keys)
+		facts, _ := newTestFleetState()
+		facts.Apply(factsFromStore(t, `{"Version":4,"Routes":`+lookRoute+`,"Tenants":[{"Name":"kumiai","ApiKeys":`+keys+`}]}`, 3).Facts, "store")
+		require.Equal(t, admitted, admitStatus(t, facts, "/look/1", "Bearer k"), keys)
 	}
 }
--- a/internal/direct/attempt.go
+++ b/internal/direct/attempt.go
@@ -21,28 +21,28 @@
 const (
 	// outcomeDone is an answer that was passed on whole.
 	outcomeDone outcome = iota
-	// outcomeNotRun is an attempt that surely did not run.
-	outcomeNotRun
+	// outcomeNotExecuted is an attempt that surely did not run.
+	outcomeNotExecuted
 	// outcomeUnknown is an attempt that may have run and gave no answer.
 	outcomeUnknown
-	// outcomeBroken is a stream that broke off after some events.
-	outcomeBroken
-	// outcomeCut is an answer that broke off and can't go on.
-	outcomeCut
-	// outcomeGone is a caller that left.
-	outcomeGone
+	// outcomeStreamBroken is a stream that broke off after some events.
+	outcomeStreamBroken
+	// outcomeTruncated is an answer that broke off and can't go on.
+	outcomeTruncated
+	// outcomeCallerGone is a caller that left.
+	outcomeCallerGone
 )
 
 // attempt sends the request to one server and passes its answer on.
-func (f *Front) attempt(ctx context.Context, x *exchange, place *route.Reservation, guard *guard) (outcome, error) {
+func (f *CallerServer) attempt(ctx context.Context, x *exchange, place *route.Reservation, guard *watchdog) (outcome, error) {
 	now := f.clock.Now()
 	if now.After(x.deadline) {
 		place.Release(route.ResultAbandoned, now)
-		return outcomeNotRun, context.DeadlineExceeded
+		return outcomeNotExecuted, context.DeadlineExceeded
 	}
-	answer, err := f.pool.Send(ctx, f.outbound(x, place, now))
+	answer, err := f.pool.Send(ctx, f.upstreamRequest(x, place, now))
 	if err != nil {
-		return f.sendFailed(x, place, guard.reason(err))
+		return f.sendFailed(x, place, guard.withCause(err))
 	}
 	x.attempts++
 	mark := f.protocol.ReadResponse(answer.Response)
@@ -53,45 +53,45 @@
 			result = route.ResultReplaced
 			x.misdirected++
 		}
-		f.ended(x, place, result, errRefused)
-		return outcomeNotRun, errRefused
+		f.finishAttempt(x, place, result, errNotExecuted)
+		return outcomeNotExecuted, errNotExecuted
 	}
 	defer answer.Close()
 	switch {
 	case answer.StatusCode < 300 && !mark.Signed || answer.Header.Get("Content-Encoding") != "":
-		f.ended(x, place, route.ResultFailed, errUnsigned)
+		f.finishAttempt(x, place, route.ResultFailed, errUnsigned)
 		return outcomeUnknown, errUnsigned
-	case answer.StatusCode >= 500 && f.mayRepeat(x):
-		f.ended(x, place, route.ResultFailed, errServerFailed)
+	case answer.StatusCode >= 500 && f.mayRetry(x):
+		f.finishAttempt(x, place, route.ResultFailed, errServerFailed)
 		return outcomeUnknown, errServerFailed
-	case x.begun && answer.StatusCode != http.StatusOK:
-		f.ended(x, place, route.ResultFailed, errServerFailed)
-		return outcomeBroken, errServerFailed
+	case x.started && answer.StatusCode != http.StatusOK:
+		f.finishAttempt(x, place, route.ResultFailed, errServerFailed)
+		return outcomeStreamBroken, errServerFailed
 	}
 	if x.route.Kind == fleet.KindStream && strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream") {
-		return f.passStream(x, place, answer, guard)
+		return f.forwardStream(x, place, answer, guard)
 	}
-	return f.passWhole(x, place, answer)
+	return f.forwardBody(x, place, answer)
 }
 
 // The errors of attempts.
 var (
-	errRefused      = errors.New("server refused the request without running it")
+	errNotExecuted  = errors.New("server refused the request without running it")
 	errUnsigned     = errors.New("answer is not signed or is encoded")
 	errServerFailed = errors.New("server failed the request")
 )
 
-// mayRepeat reports whether another attempt may follow one that may have run.
-func (f *Front) mayRepeat(x *exchange) bool {
+// mayRetry reports whether another attempt may follow one that may have run.
+func (f *CallerServer) mayRetry(x *exchange) bool {
 	return x.route.Repeatable() && x.attempts < x.route.MaxAttempts && f.clock.Now().Before(x.deadline)
 }
 
-// outbound makes the request for one server.
-func (f *Front) outbound(x *exchange, place *route.Reservation, now time.Time) *upstream.Request {
+// upstreamRequest makes the request for one server.
+func (f *CallerServer) upstreamRequest(x *exchange, place *route.Reservation, now time.Time) *upstream.Request {
 	header := x.request.Header.Clone()
 	upstream.RemoveHopByHopHeaders(header)
 	out := provider.OutboundMetadata{
-		Server: place.Server.ID, Deadline: x.deadline.Sub(now), LastEventID: x.lastEvent, Priority: -1,
+		Server: place.Server.ID, Deadline: x.deadline.Sub(now), LastEventID: x.lastEventID, Priority: -1,
 	}
 	if x.organisation != nil {
 		out.Organisation = x.organisation.Name
@@ -100,26 +100,26 @@
 		Address: place.Server.Address, ID: x.ID, Method: x.request.Method, Target: x.request.RequestURI, Host: x.request.Host,
 		Header: header, Body: x.body,
 		BeforeSend: func() error {
-			if f.isBarred(x.service, place) {
-				return errBarred
+			if f.isPastCutoff(x.service, place) {
+				return errPastCutoff
 			}
-			if f.verdict(x).Blocked {
+			if f.quarantineDecision(x).Blocked {
 				return route.ErrQuarantined
 			}
 			return place.Check(f.clock.Now())
 		},
-		OnResponse: func(head *http.Response) { f.heard(x, place, head) },
+		OnResponse: func(head *http.Response) { f.handleSignals(x, place, head) },
 	}
-	if service := f.facts.View().Service(x.service); service != nil && service.Engine != nil && len(service.Engine.Models) > 0 {
+	if service := f.fleetState.View().Service(x.service); service != nil && service.Engine != nil && len(service.Engine.Models) > 0 {
 		out.Priority = f.priority(x)
-		if x.begun {
+		if x.started {
 			// Its reader waits for the next event; those that have not begun can wait
 			// longer.
 			out.Priority = 0
 		}
-		named := f.facts.View().PublishedVersions(service.Engine.Models[0])
+		named := f.fleetState.View().PublishedVersions(service.Engine.Models[0])
 		newest := named.Newest()
-		if f.required(named, now) > 0 || !newest.PublishedAt.IsZero() && place.Version == newest.Version {
+		if f.requiredVersion(named, now) > 0 || !newest.PublishedAt.IsZero() && place.Version == newest.Version {
 			// What is believed of its weights may be of the server's start before. On the newest ones it can't
 			// have gone on; on older ones it may have, which is no reason to refuse before they are barred.
 			out.Version = place.Version
@@ -130,36 +130,36 @@
 }
 
 // sendFailed tells what became of an attempt without an answer.
-func (f *Front) sendFailed(x *exchange, place *route.Reservation, err error) (outcome, error) {
+func (f *CallerServer) sendFailed(x *exchange, place *route.Reservation, err error) (outcome, error) {
 	if x.request.Context().Err() != nil {
-		f.ended(x, place, route.ResultAbandoned, err)
-		return outcomeGone, err
+		f.finishAttempt(x, place, route.ResultAbandoned, err)
+		return outcomeCallerGone, err
 	}
-	if isHeldBack(err) && !upstream.MayHaveRun(err) {
+	if isLocalAbort(err) && !upstream.MayHaveRun(err) {
 		// The box itself kept it from being sent, so the server is none the worse for it.
-		f.ended(x, place, route.ResultAbandoned, err)
-		return outcomeNotRun, err
+		f.finishAttempt(x, place, route.ResultAbandoned, err)
+		return outcomeNotExecuted, err
 	}
 	if !upstream.MayHaveRun(err) {
-		f.ended(x, place, route.ResultUnreachable, err)
+		f.finishAttempt(x, place, route.ResultUnreachable, err)
 		f.pool.CloseIdle(place.Server.Address)
 		// No byte went out, so this was no attempt.
 		x.unreachable++
-		return outcomeNotRun, err
+		return outcomeNotExecuted, err
 	}
 	x.attempts++
-	f.failed(x, place, err)
+	f.failAttempt(x, place, err)
 	return outcomeUnknown, err
 }
 
-// isHeldBack reports whether the box itself kept an attempt from being sent, or ended it.
-func isHeldBack(err error) bool {
-	return errors.Is(err, errBarred) || errors.Is(err, errNotBegun) || errors.Is(err, route.ErrLeaving) || errors.Is(err, route.ErrBackingOff) ||
+// isLocalAbort reports whether the box itself kept an attempt from being sent, or ended it.
+func isLocalAbort(err error) bool {
+	return errors.Is(err, errPastCutoff) || errors.Is(err, errNotStarted) || errors.Is(err, route.ErrLeaving) || errors.Is(err, route.ErrBackingOff) ||
 		errors.Is(err, route.ErrLimited) || errors.Is(err, route.ErrQuarantined)
 }
 
-// ended releases the place and notes the attempt.
-func (f *Front) ended(x *exchange, place *route.Reservation, result route.Result, err error) {
+// finishAttempt releases the place and notes the attempt.
+func (f *CallerServer) finishAttempt(x *exchange, place *route.Reservation, result route.Result, err error) {
 	now := f.clock.Now()
 	held := place.HeldFor(now)
 	place.Release(result, now)
@@ -167,12 +167,12 @@
 	if result != route.ResultDone {
 		f.log.Info().Str("request", x.ID).Str("server", string(place.Server.ID)).Str("address", string(place.Server.Address)).
 			Uint64("weights", uint64(place.Version)).Str("result", result.String()).Dur("held_ms", held).
-			Str("content", x.contentID().String()).Dur("answering_ms", place.RespondingFor(now)).Str("last_event", x.lastEvent).Err(err).Msg("attempt ended")
+			Str("content", x.contentID().String()).Dur("answering_ms", place.RespondingFor(now)).Str("last_event", x.lastEventID).Err(err).Msg("attempt ended")
 	}
 }
 
-// passHead passes the status and the headers of an answer on.
-func (f *Front) passHead(x *exchange, answer *upstream.Response) {
+// forwardHeader passes the status and the headers of an answer on.
+func (f *CallerServer) forwardHeader(x *exchange, answer *upstream.Response) {
 	header := x.writer.Header()
 	length := answer.Header["Content-Length"]
 	upstream.RemoveHopByHopHeaders(answer.Header)
@@ -186,20 +186,20 @@
 		header.Set("Connection", "close")
 	}
 	x.writer.WriteHeader(answer.StatusCode)
-	x.begun, x.firstAfter = true, f.clock.Since(x.arrived)
-	f.metrics.firstEvent.WithLabelValues(x.route.Name).Observe(x.firstAfter.Seconds())
+	x.started, x.ttfb = true, f.clock.Since(x.arrived)
+	f.metrics.ttfb.WithLabelValues(x.route.Name).Observe(x.ttfb.Seconds())
 }
 
-// wholeBuffer is the size up to which an answer is read before it is passed on,
+// responseBufferSize is the size up to which an answer is read before it is passed on,
 // in bytes; one that breaks off before its end can then still be repeated.
-const wholeBuffer = 64 << 10
+const responseBufferSize = 64 << 10
 
-// passWhole passes on an answer that is not a stream of events.
-func (f *Front) passWhole(x *exchange, place *route.Reservation, answer *upstream.Response) (outcome, error) {
+// forwardBody passes on an answer that is not a stream of events.
+func (f *CallerServer) forwardBody(x *exchange, place *route.Reservation, answer *upstream.Response) (outcome, error) {
 	place.Started(f.clock.Now())
-	buffer := make([]byte, 0, min(wholeBuffer, max(512, int(answer.ContentLength)+1)))
+	buffer := make([]byte, 0, min(responseBufferSize, max(512, int(answer.ContentLength)+1)))
 	var err error
-	for err == nil && len(buffer) < wholeBuffer {
+	for err == nil && len(buffer) < responseBufferSize {
 		if len(buffer) == cap(buffer) {
 			buffer = slices.Grow(buffer, len(buffer))
 		}
@@ -210,19 +210,19 @@
 	if err != nil && !errors.Is(err, io.EOF) {
 		return f.bodyFailed(x, place, err)
 	}
-	f.passHead(x, answer)
+	f.forwardHeader(x, answer)
 	if _, problem := x.writer.Write(buffer); problem != nil {
-		f.ended(x, place, route.ResultAbandoned, problem)
-		return outcomeGone, problem
+		f.finishAttempt(x, place, route.ResultAbandoned, problem)
+		return outcomeCallerGone, problem
 	}
 	if err == nil {
 		if _, err = io.Copy(x.writer, answer); err != nil {
-			f.failed(x, place, err)
-			return outcomeCut, err
+			f.failAttempt(x, place, err)
+			return outcomeTruncated, err
 		}
 	}
-	f.ranWell(x)
-	f.ended(x, place, resultOf(answer), nil)
+	f.recordSuccess(x)
+	f.finishAttempt(x, place, resultOf(answer), nil)
 	return outcomeDone, nil
 }
 
@@ -236,11 +236,11 @@
 
 // bodyFailed tells what became of an answer that broke off before any of it was
 // passed on.
-func (f *Front) bodyFailed(x *exchange, place *route.Reservation, err error) (outcome, error) {
+func (f *CallerServer) bodyFailed(x *exchange, place *route.Reservation, err error) (outcome, error) {
 	if x.request.Context().Err() != nil {
-		f.ended(x, place, route.ResultAbandoned, err)
-		return outcomeGone, err
+		f.finishAttempt(x, place, route.ResultAbandoned, err)
+		return outcomeCallerGone, err
 	}
-	f.failed(x, place, err)
+	f.failAttempt(x, place, err)
 	return outcomeUnknown, err
 }
--- a/internal/direct/rest_test.go
+++ b/internal/direct/backoff_test.go
@@ -15,10 +15,10 @@
 )
 
 // An agent asked its server for a report ten times a second, and handed it pieces, whatever rest it had asked for.
-func TestAnAgentLeavesAServerAloneThatWantsRest(t *testing.T) {
+func TestAgentHonorsServerBackoff(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	calls, asks := 0, 3*time.Second
-	server := restingServer(provider.ModelServer{
+	server := serverWithBackoff(provider.ModelServer{
 		Report: func(context.Context) (fleet.Report, error) {
 			calls++
 			return fleet.Report{}, &provider.BackoffError{Delay: asks}
@@ -26,7 +26,7 @@
 		Load:       func(context.Context, provider.LoadOrder) error { calls++; return nil },
 		Stage:      func(context.Context, fleet.ModelName, int, []byte) error { calls++; return nil },
 		ReadStaged: func(context.Context, fleet.ModelName, int) ([]byte, error) { calls++; return nil, nil },
-	}, &restKeeper{name: "server", clock: clock, log: zerolog.Nop()})
+	}, &serverBackoff{name: "server", clock: clock, log: zerolog.Nop()})
 	ctx := t.Context()
 	_, err := server.Report(ctx)
 	require.Equal(t, 3*time.Second, provider.RequestedBackoff(err))
@@ -42,19 +42,19 @@
 	asks = time.Hour
 	_, _ = server.Report(ctx)
 	require.Equal(t, 2, calls)
-	clock.Advance(restLongest)
+	clock.Advance(maxBackoff)
 	require.NoError(t, server.Load(ctx, provider.LoadOrder{}), "no rest is for longer")
 }
 
-func TestAnAgentLeavesAnOriginAloneThatWantsRest(t *testing.T) {
+func TestAgentHonorsOriginBackoff(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	calls := 0
-	origin := restingOrigin(provider.ChunkOrigin{
+	origin := originWithBackoff(provider.ChunkOrigin{
 		Chunk: func(context.Context, member.Address, fleet.ModelName, fleet.WeightsVersion, int) ([]byte, error) {
 			calls++
 			return nil, &provider.BackoffError{Delay: time.Second}
 		},
-	}, &restKeeper{name: "origin", clock: clock, log: zerolog.Nop()})
+	}, &serverBackoff{name: "origin", clock: clock, log: zerolog.Nop()})
 	for range 5 {
 		_, err := origin.Chunk(t.Context(), "", "m", 1, 0)
 		require.Error(t, err)
--- a/internal/direct/cells.go
+++ b/internal/direct/cells.go
@@ -15,42 +15,42 @@
 // while share some servers without knowing of each other; what the agents report of their
 // servers then counts (route.Dispatcher).
 type cellPlan struct {
-	cells, own int
-	// cellOf are the cells of all entry boxes, mates the other entry boxes of the own cell.
-	cellOf map[member.BoxID]int
-	mates  map[member.BoxID]bool
-	// servers are the cells of the servers that are divided, by address; those that are not in
+	count, ownCell int
+	// cellByBox are the cells of all entry boxes, mates the other entry boxes of the own cell.
+	cellByBox map[member.BoxID]int
+	cellPeers map[member.BoxID]bool
+	// cellByServer are the cells of the servers that are divided, by address; those that are not in
 	// it are shared by all cells.
-	servers map[member.Address]int
+	cellByServer map[member.Address]int
 }
 
-// uses reports whether the own cell uses a server.
-func (p *cellPlan) uses(address member.Address) bool {
+// usesServer reports whether the own cell uses a server.
+func (p *cellPlan) usesServer(address member.Address) bool {
 	if p == nil {
 		return true
 	}
-	cell, divided := p.servers[address]
-	return !divided || cell == p.own
+	cell, divided := p.cellByServer[address]
+	return !divided || cell == p.ownCell
 }
 
-// relayed returns the boxes of other cells whom this one follows to tell its own cell whom they have sent away. A box is
+// relaySources returns the boxes of other cells whom this one follows to tell its own cell whom they have sent away. A box is
 // followed by one of each cell whose number differs from its own in one bit, of its own region where there is one.
-func (p *cellPlan) relayed(self member.BoxID, up []member.Record) map[member.Address]route.RelayDimension {
-	if p.cells == 1 {
+func (p *cellPlan) relaySources(self member.BoxID, up []member.Record) map[member.Address]route.RelayDimension {
+	if p.count == 1 {
 		return nil
 	}
 	var cell []member.BoxID
 	inRegion := make(map[member.Region][]member.BoxID)
 	for i := range up {
-		if box := up[i].Box; p.mates[box] || box == self {
+		if box := up[i].Box; p.cellPeers[box] || box == self {
 			cell = append(cell, box)
 			inRegion[up[i].Region] = append(inRegion[up[i].Region], box)
 		}
 	}
 	relayed := make(map[member.Address]route.RelayDimension)
 	for i := range up {
-		other, known := p.cellOf[up[i].Box]
-		differ := uint(other ^ p.own)
+		other, known := p.cellByBox[up[i].Box]
+		differ := uint(other ^ p.ownCell)
 		if !known || bits.OnesCount(differ) != 1 {
 			continue
 		}
@@ -65,18 +65,18 @@
 	return relayed
 }
 
-// owned returns those servers that the own cell uses.
-func (p *cellPlan) owned(servers []fleet.Server) []fleet.Server {
-	if p == nil || p.cells == 1 {
+// ownServers returns those servers that the own cell uses.
+func (p *cellPlan) ownServers(servers []fleet.Server) []fleet.Server {
+	if p == nil || p.count == 1 {
 		return servers
 	}
-	owned := make([]fleet.Server, 0, len(servers)/p.cells+1)
+	owned := make([]fleet.Server, 0, len(servers)/p.count+1)
 	for i := range servers {
 		server := servers[i]
-		if !p.uses(server.Address) {
+		if !p.usesServer(server.Address) {
 			continue
 		}
-		if _, divided := p.servers[server.Address]; !divided && server.Limit.Set {
+		if _, divided := p.cellByServer[server.Address]; !divided && server.Limit.Set {
 			var ok bool
 			if server.Limit, ok = p.limitShare(&server); !ok {
 				continue
@@ -94,12 +94,12 @@
 // limitShare returns this cell's share of the rate limit of a server that all cells use; ok is false if it has none. If the limit is
 // too low for all cells, rendezvous hashing by server ID selects the cells that share it.
 func (p *cellPlan) limitShare(server *fleet.Server) (share fleet.RateLimit, ok bool) {
-	sharing := max(1, min(p.cells, int(min(server.Limit.PerSecond/minCellRate, float64(p.cells)))))
-	cells := make([]string, p.cells)
+	sharing := max(1, min(p.count, int(min(server.Limit.PerSecond/minCellRate, float64(p.count)))))
+	cells := make([]string, p.count)
 	for cell := range cells {
 		cells[cell] = strconv.Itoa(cell)
 	}
-	if !slices.Contains(member.Rank("limit "+string(server.ID), cells, sharing), strconv.Itoa(p.own)) {
+	if !slices.Contains(member.Rank("limit "+string(server.ID), cells, sharing), strconv.Itoa(p.ownCell)) {
 		return fleet.RateLimit{}, false
 	}
 	return fleet.RateLimit{Set: true, PerSecond: server.Limit.PerSecond / float64(sharing)}, true
@@ -107,16 +107,16 @@
 
 // planCells divides the entry boxes and the servers of a view.
 func planCells(self member.BoxID, boxes []member.Record, view *fleet.View, regionOf func(member.FailureDomain) member.Region) *cellPlan {
-	cells := member.CellCount(len(boxes), largestService(view, len(boxes)))
-	plan := &cellPlan{cells: cells, mates: make(map[member.BoxID]bool), servers: make(map[member.Address]int)}
+	cells := member.CellCount(len(boxes), largestServiceSize(view, len(boxes)))
+	plan := &cellPlan{count: cells, cellPeers: make(map[member.BoxID]bool), cellByServer: make(map[member.Address]int)}
 	assigned := make(map[member.BoxID]int, len(boxes))
 	for _, region := range byRegion(boxes, func(r *member.Record) (member.Region, member.BoxID) { return r.Region, r.Box }) {
 		maps.Copy(assigned, member.AssignCells(region, cells))
 	}
-	plan.cellOf, plan.own = assigned, assigned[self]
+	plan.cellByBox, plan.ownCell = assigned, assigned[self]
 	for box, cell := range assigned {
-		if cell == plan.own && box != self {
-			plan.mates[box] = true
+		if cell == plan.ownCell && box != self {
+			plan.cellPeers[box] = true
 		}
 	}
 	if cells == 1 {
@@ -129,15 +129,15 @@
 		}
 		where := func(s *fleet.Server) (member.Region, member.Address) { return regionOf(s.Domain), s.Address }
 		for _, region := range byRegion(servers, where) {
-			maps.Copy(plan.servers, member.AssignCells(region, cells))
+			maps.Copy(plan.cellByServer, member.AssignCells(region, cells))
 		}
 	}
 	return plan
 }
 
-// largestService is how many servers the largest service has that runs models. Until a
+// largestServiceSize is how many servers the largest service has that runs models. Until a
 // configuration is known there are taken to be enough to divide the fleet by its boxes alone.
-func largestService(view *fleet.View, boxes int) int {
+func largestServiceSize(view *fleet.View, boxes int) int {
 	if view.Configuration == nil {
 		return boxes
 	}
@@ -168,13 +168,13 @@
 type planInput struct {
 	boxes []member.Record
 	// services are the servers of each service.
-	services [][]fleet.Server
-	known    bool
+	services   [][]fleet.Server
+	configured bool
 }
 
-// isSame reports whether nothing has changed. Views share the slices that stay as they were.
-func (p *planInput) isSame(other *planInput) bool {
-	return p.known == other.known && isSameSlice(p.boxes, other.boxes) && slices.EqualFunc(p.services, other.services, isSameSlice)
+// isEqual reports whether nothing has changed. Views share the slices that stay as they were.
+func (p *planInput) isEqual(other *planInput) bool {
+	return p.configured == other.configured && isSameSlice(p.boxes, other.boxes) && slices.EqualFunc(p.services, other.services, isSameSlice)
 }
 
 func isSameSlice[T any](a, b []T) bool {
@@ -183,20 +183,20 @@
 
 // replan divides the fleet anew if it has changed.
 func (e *EntryBoxes) replan() {
-	view := e.facts.View()
-	input := planInput{boxes: e.members.All(), known: view.Configuration != nil}
+	view := e.fleetState.View()
+	input := planInput{boxes: e.membership.All(), configured: view.Configuration != nil}
 	for _, service := range view.Services() {
 		input.services = append(input.services, view.Servers(service.Name))
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.plan != nil && e.planned.isSame(&input) {
+	if e.plan != nil && e.planInput.isEqual(&input) {
 		return
 	}
 	before := e.plan
-	e.plan, e.planned = planCells(e.self.Box, input.boxes, view, e.regionOf), input
-	if before == nil || before.cells != e.plan.cells || before.own != e.plan.own {
-		e.log.Info().Int("boxes", len(input.boxes)).Int("cells", e.plan.cells).Int("cell", e.plan.own).Int("mates", len(e.plan.mates)).Msg("fleet divided")
+	e.plan, e.planInput = planCells(e.self.Box, input.boxes, view, e.regionOf), input
+	if before == nil || before.count != e.plan.count || before.ownCell != e.plan.ownCell {
+		e.log.Info().Int("boxes", len(input.boxes)).Int("cells", e.plan.count).Int("cell", e.plan.ownCell).Int("mates", len(e.plan.cellPeers)).Msg("fleet divided")
 	}
 	close(e.replanned)
 	e.replanned = make(chan struct{})
@@ -216,15 +216,15 @@
 	return e.replanned
 }
 
-// CellBoxes is how many entry boxes share the servers of the cell, with this one, as far as
+// CellSize is how many entry boxes share the servers of the cell, with this one, as far as
 // they are heard.
-func (e *EntryBoxes) CellBoxes() int {
+func (e *EntryBoxes) CellSize() int {
 	plan, boxes := e.currentPlan(), 1
 	if plan == nil {
 		return boxes
 	}
 	for _, box := range e.Boxes() {
-		if plan.mates[box.Box] {
+		if plan.cellPeers[box.Box] {
 			boxes++
 		}
 	}
--- a/internal/direct/pieces.go
+++ b/internal/direct/chunks.go
@@ -10,43 +10,43 @@
 )
 
 const (
-	// pieceShare is the part of the box's link that pieces may take; the rest is
+	// chunkLinkShare is the part of the box's link that pieces may take; the rest is
 	// for the answers of the backend server beside it, which take less than 5% of it.
-	pieceShare = 0.85
-	// pieceSlots is how many pieces are sent at once: one after the other comes sooner,
+	chunkLinkShare = 0.85
+	// maxConcurrentChunks is how many pieces are sent at once: one after the other comes sooner,
 	// and two leave no gap between them.
-	pieceSlots = 2
-	// pieceFrame is the size of the frames in which a piece is sent, in bytes. One
+	maxConcurrentChunks = 2
+	// chunkFrameSize is the size of the frames in which a piece is sent, in bytes. One
 	// holds up an answer on the link for a few milliseconds.
-	pieceFrame = 4 << 10
+	chunkFrameSize = 4 << 10
 	// bytesPerMbit converts rates.
 	bytesPerMbit = 1e6 / 8
 )
 
-// PieceServer gives other agents the pieces that this one holds, at a pace that
+// ChunkServer gives other agents the pieces that this one holds, at a pace that
 // leaves room on the link. It implements the drpc service Chunks.
-type PieceServer struct {
+type ChunkServer struct {
 	wire.DRPCChunksUnimplementedServer
 
-	store *weights.MemoryStore
-	pace  *rate.Limiter
-	slots chan struct{}
+	store   *weights.MemoryStore
+	limiter *rate.Limiter
+	slots   chan struct{}
 	// isIdle reports whether the backend server has nothing to answer, so that the
 	// whole link is free.
 	isIdle func() bool
 }
 
-// NewPieceServer returns a server for what a store holds, on a link of a rate in
+// NewChunkServer returns a server for what a store holds, on a link of a rate in
 // Mbit/s.
-func NewPieceServer(store *weights.MemoryStore, linkMbps float64, isIdle func() bool) *PieceServer {
-	return &PieceServer{
-		store: store, isIdle: isIdle, slots: make(chan struct{}, pieceSlots),
-		pace: rate.NewLimiter(rate.Limit(pieceShare*linkMbps*bytesPerMbit), pieceFrame),
+func NewChunkServer(store *weights.MemoryStore, linkMbps float64, isIdle func() bool) *ChunkServer {
+	return &ChunkServer{
+		store: store, isIdle: isIdle, slots: make(chan struct{}, maxConcurrentChunks),
+		limiter: rate.NewLimiter(rate.Limit(chunkLinkShare*linkMbps*bytesPerMbit), chunkFrameSize),
 	}
 }
 
 // Holdings tells which pieces of a version are held.
-func (s *PieceServer) Holdings(_ context.Context, request *wire.HoldingsRequest) (*wire.HoldingsResponse, error) {
+func (s *ChunkServer) Holdings(_ context.Context, request *wire.HoldingsRequest) (*wire.HoldingsResponse, error) {
 	digest, err := weights.DigestFromBytes(request.Manifest)
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 }
 
 // Fetch sends one piece in frames.
-func (s *PieceServer) Fetch(request *wire.FetchRequest, stream wire.DRPCChunks_FetchStream) error {
+func (s *ChunkServer) Fetch(request *wire.FetchRequest, stream wire.DRPCChunks_FetchStream) error {
 	digest, err := weights.DigestFromBytes(request.Manifest)
 	if err != nil {
 		return err
@@ -72,9 +72,9 @@
 		return err
 	}
 	for len(data) > 0 {
-		size := min(len(data), pieceFrame)
+		size := min(len(data), chunkFrameSize)
 		if !s.isIdle() {
-			if err := s.pace.WaitN(ctx, size); err != nil {
+			if err := s.limiter.WaitN(ctx, size); err != nil {
 				return err
 			}
 		}
--- a/internal/direct/order_test.go
+++ b/internal/direct/concurrency_test.go
@@ -14,9 +14,9 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// interleaved runs two calls that take the same lock so that, as often as not, the second goes
+// runInterleaved runs two calls that take the same lock so that, as often as not, the second goes
 // on before the first, which waits for the lock when the second begins.
-func interleaved(lock, unlock, first, second func()) {
+func runInterleaved(lock, unlock, first, second func()) {
 	lock()
 	waiting, done := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -38,12 +38,12 @@
 
 // A box heard from one that another was up, and at the same moment from that one itself that it
 // was starting. The older word was kept last, and callers were not led there for good.
-func TestOfTwoWordsAtTheSameMomentTheNewerStays(t *testing.T) {
-	older := recordsOf(t, member.Record{Box: "b", Incarnation: 1, Sequence: 1, Status: member.StatusStarting})
-	newer := recordsOf(t, member.Record{Box: "b", Incarnation: 1, Sequence: 2, Status: member.StatusUp})
+func TestNewerOfConcurrentRecordsWins(t *testing.T) {
+	older := recordItems(t, member.Record{Box: "b", Incarnation: 1, Sequence: 1, Status: member.StatusStarting})
+	newer := recordItems(t, member.Record{Box: "b", Incarnation: 1, Sequence: 2, Status: member.StatusUp})
 	for range interleavings {
-		m := newTestMembers(clockwork.NewFakeClock(), "self")
-		interleaved(m.mu.Lock, m.mu.Unlock, func() { m.Learn(older, "b") }, func() { m.Learn(newer, "c") })
+		m := newTestMembership(clockwork.NewFakeClock(), "self")
+		runInterleaved(m.mu.Lock, m.mu.Unlock, func() { m.Merge(older, "b") }, func() { m.Merge(newer, "c") })
 		record, known := m.Record("b")
 		require.True(t, known)
 		require.Equal(t, member.StatusUp, record.Status)
@@ -51,11 +51,11 @@
 }
 
 // The same of entries of the store: a server that had left stayed believed.
-func TestOfTwoEntriesAtTheSameMomentTheNewerStays(t *testing.T) {
+func TestNewerOfConcurrentEntriesWins(t *testing.T) {
 	gone := fleet.Fact{Key: fleet.ServerKey("a"), Revision: 7, Deleted: true}
 	for range interleavings {
-		facts := NewFacts(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
-		interleaved(
+		facts := NewFleetState(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
+		runInterleaved(
 			facts.mu.Lock, facts.mu.Unlock,
 			func() { facts.Apply([]fleet.Fact{listed("a", 3)}, "entry-2") }, func() { facts.Apply([]fleet.Fact{gone}, "store") },
 		)
@@ -64,19 +64,19 @@
 }
 
 // The same the other way round: a server that was back stayed gone until it wrote its entry anew.
-func TestAServerThatIsBackAtTheMomentOfItsDeletionIsBelieved(t *testing.T) {
+func TestServerReturningDuringDeletionIsKept(t *testing.T) {
 	for range interleavings / 6 {
-		facts := NewFacts(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
-		interleaved(
+		facts := NewFleetState(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
+		runInterleaved(
 			facts.mu.Lock, facts.mu.Unlock,
-			func() { facts.Apply([]fleet.Fact{gone()}, "store") }, func() { facts.Apply([]fleet.Fact{listed("a", 9)}, "entry-2") },
+			func() { facts.Apply([]fleet.Fact{deleted()}, "store") }, func() { facts.Apply([]fleet.Fact{listed("a", 9)}, "entry-2") },
 		)
 		require.Len(t, facts.View().Servers("llm"), 1)
 	}
 }
 
-// keyedBy is a configuration in which each version up to its own has added a key.
-func keyedBy(version uint64, revision fleet.Revision) fleet.Fact {
+// configurationWithKeys is a configuration in which each version up to its own has added a key.
+func configurationWithKeys(version uint64, revision fleet.Revision) fleet.Fact {
 	organisation := fleet.Organisation{Name: "kumiai"}
 	for v := uint64(1); v <= version; v++ {
 		organisation.Keys = append(organisation.Keys, fleet.APIKey(fmt.Sprint("k", v)))
@@ -88,33 +88,33 @@
 
 // Two batches of configurations come from two sides at the same moment: the key that the newest
 // one adds counts, whichever batch is taken last.
-func TestOfTwoBatchesOfConfigurationsTheNewestIsInForce(t *testing.T) {
+func TestNewestOfConcurrentConfigurationsApplies(t *testing.T) {
 	for range interleavings / 6 {
-		facts := NewFacts(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
-		interleaved(
+		facts := NewFleetState(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
+		runInterleaved(
 			facts.mu.Lock, facts.mu.Unlock,
-			func() { facts.Apply([]fleet.Fact{keyedBy(1, 4), keyedBy(2, 5)}, "entry-2") },
-			func() { facts.Apply([]fleet.Fact{keyedBy(3, 8), keyedBy(4, 9)}, "store") },
+			func() { facts.Apply([]fleet.Fact{configurationWithKeys(1, 4), configurationWithKeys(2, 5)}, "entry-2") },
+			func() { facts.Apply([]fleet.Fact{configurationWithKeys(3, 8), configurationWithKeys(4, 9)}, "store") },
 		)
 		_, known := facts.View().Organisation("k4")
 		require.True(t, known)
 	}
 }
 
-// returnOfTheStore is what is told once the store is back from a silence in which entries ran out:
+// factsAfterOutage is what is told once the store is back from a silence in which entries ran out:
 // their deletions, and five configurations with the servers that come back among them.
-func returnOfTheStore() []fleet.Fact {
+func factsAfterOutage() []fleet.Fact {
 	deleted := func(id fleet.ServerID, revision fleet.Revision) fleet.Fact {
 		return fleet.Fact{Key: fleet.ServerKey(id), Revision: revision, Deleted: true}
 	}
 	return []fleet.Fact{
-		deleted("a", 50), deleted("b", 51), deleted("c", 52), keyedBy(2, 64), keyedBy(3, 65), listed("a", 66),
-		keyedBy(4, 67), keyedBy(5, 68), listed("b", 69), keyedBy(6, 71), listed("c", 72),
+		deleted("a", 50), deleted("b", 51), deleted("c", 52), configurationWithKeys(2, 64), configurationWithKeys(3, 65), listed("a", 66),
+		configurationWithKeys(4, 67), configurationWithKeys(5, 68), listed("b", 69), configurationWithKeys(6, 71), listed("c", 72),
 	}
 }
 
-// watchForSteps counts how often the view goes back to an older configuration, until it is ended.
-func watchForSteps(facts *Facts) (end func() (back int)) {
+// countRegressions counts how often the view goes back to an older configuration, until it is ended.
+func countRegressions(facts *FleetState) (end func() (back int)) {
 	stop, back := make(chan struct{}), make(chan int)
 	go func() {
 		steps, newest := 0, uint64(0)
@@ -138,10 +138,10 @@
 	}
 }
 
-// hearAtOnce lets a box hear of all that the store tells after its return from another box, and at
+// applyConcurrently lets a box hear of all that the store tells after its return from another box, and at
 // the same moment of the part before a place from the store and of the rest from a third box.
-func hearAtOnce(facts *Facts, try int) {
-	told := returnOfTheStore()
+func applyConcurrently(facts *FleetState, try int) {
+	told := factsAfterOutage()
 	cut := 1 + try%(len(told)-1)
 	var begun, heard sync.WaitGroup
 	begun.Add(3)
@@ -167,25 +167,25 @@
 	heard.Wait()
 }
 
-// tries play each place and each size of batches three times.
-const tries = 180
+// interleavingTries play each place and each size of batches three times.
+const interleavingTries = 180
 
-// knowingThree is a box that knew three servers and a configuration before the store fell silent.
-func knowingThree() *Facts {
-	facts := NewFacts(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
-	facts.Apply([]fleet.Fact{listed("a", 3), listed("b", 4), listed("c", 5), keyedBy(1, 6)}, "store")
+// newStateWithThreeServers is a box that knew three servers and a configuration before the store fell silent.
+func newStateWithThreeServers() *FleetState {
+	facts := NewFleetState(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
+	facts.Apply([]fleet.Fact{listed("a", 3), listed("b", 4), listed("c", 5), configurationWithKeys(1, 6)}, "store")
 	return facts
 }
 
 // The store was back after a silence, and two boxes refused keys that it had confirmed seconds
 // before. From whatever sides the news comes at once, the newest configuration is in force.
-func TestOfAllThatIsHeardOnceTheStoreIsBackTheNewestKeysCount(t *testing.T) {
-	for try := range tries {
-		facts := knowingThree()
-		end := watchForSteps(facts)
-		hearAtOnce(facts, try)
+func TestNewestKeysApplyAfterStoreOutage(t *testing.T) {
+	for try := range interleavingTries {
+		facts := newStateWithThreeServers()
+		end := countRegressions(facts)
+		applyConcurrently(facts, try)
 		require.Zero(t, end(), "try %d: the view went back", try)
-		require.Equal(t, fleet.Revision(72), facts.Extent().Newest)
+		require.Equal(t, fleet.Revision(72), facts.Watermarks().Newest)
 		for version := 1; version <= 6; version++ {
 			_, known := facts.View().Organisation(fleet.APIKey(fmt.Sprint("k", version)))
 			require.True(t, known, "try %d: the key of version %d is refused", try, version)
@@ -194,10 +194,10 @@
 }
 
 // The same of the servers whose entries had run out: all that come back are believed again.
-func TestOfAllThatIsHeardOnceTheStoreIsBackNoServerIsMissed(t *testing.T) {
-	for try := range tries {
-		facts := knowingThree()
-		hearAtOnce(facts, try)
+func TestServersReturnAfterStoreOutage(t *testing.T) {
+	for try := range interleavingTries {
+		facts := newStateWithThreeServers()
+		applyConcurrently(facts, try)
 		require.Len(t, facts.View().Servers("llm"), 3, "try %d", try)
 	}
 }
--- a/internal/direct/crash_test.go
+++ b/internal/direct/crash_test.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// crashDown is for how long a server is away that has crashed.
-const crashDown = 200 * time.Millisecond
+// crashDowntime is for how long a server is away that has crashed.
+const crashDowntime = 200 * time.Millisecond
 
-// cmdCrashes lets every server crash that begins to run a request with a body, and start again a little later:
+// cmdCrashOnRequest lets every server crash that begins to run a request with a body, and start again a little later:
 // crashes BODY.
-func (w *world) cmdCrashes(args []string) error {
+func (w *testDeployment) cmdCrashOnRequest(args []string) error {
 	for _, s := range w.servers {
 		s.CrashOnBody(args[0], func() { w.crash(s) })
 	}
@@ -23,13 +23,13 @@
 }
 
 // crash ends a server and starts it again under its id. It holds its weights as soon as it is back.
-func (w *world) crash(s *worldServer) {
+func (w *testDeployment) crash(s *testServer) {
 	version := s.Version()
 	if err := s.host.Kill(); err != nil {
 		w.t.Error(err)
 	}
 	w.restarts.Go(func() {
-		time.Sleep(crashDown)
+		time.Sleep(crashDowntime)
 		s.Restart(s.id)
 		s.SetVersion(version)
 		if err := s.host.Start(); err != nil {
@@ -39,8 +39,8 @@
 	})
 }
 
-// harmed is how many servers a request has reached.
-func (w *world) harmed(path, body string) int {
+// reachedServers is how many servers a request has reached.
+func (w *testDeployment) reachedServers(path, body string) int {
 	count := 0
 	for _, s := range w.servers {
 		for _, visit := range s.ReceivedRequests() {
@@ -52,56 +52,56 @@
 	return count
 }
 
-// cmdHarm sends a body to some entry boxes in turn until a number of servers have ended under it, or it is refused for long:
+// cmdCauseFaults sends a body to some entry boxes in turn until a number of servers have ended under it, or it is refused for long:
 // harm 3 /talk/1 BODY entry-1 entry-2.
-func (w *world) cmdHarm(args []string) error {
+func (w *testDeployment) cmdCauseFaults(args []string) error {
 	entries, tries := args[3:], 0
 	return w.await(func() error {
-		before := w.harmed(args[1], args[2])
-		if before >= number(args[0], 0) {
+		before := w.reachedServers(args[1], args[2])
+		if before >= parseInt(args[0], 0) {
 			return nil
 		}
 		tries++
-		status, err := w.ask(entries[tries%len(entries)], args[1], args[2])
-		if err == nil && status != statusBarred {
+		status, err := w.sendBody(entries[tries%len(entries)], args[1], args[2])
+		if err == nil && status != statusBlocked {
 			err = fmt.Errorf("%d servers have ended", before)
 		}
 		return err
 	})
 }
 
-// statusBarred stands for a refusal that tells its caller to come back after more than a minute, as no refusal for want of a
+// statusBlocked stands for a refusal that tells its caller to come back after more than a minute, as no refusal for want of a
 // place does.
-const statusBarred = -http.StatusServiceUnavailable
+const statusBlocked = -http.StatusServiceUnavailable
 
-// ask sends a body to an entry box and returns the status of its answer.
-func (w *world) ask(entry, path, body string) (int, error) {
-	response, err := w.requestBody(entry, fmt.Sprintf("harm-%d", w.asked.Add(1)), path, "key-1", body)
+// sendBody sends a body to an entry box and returns the status of its answer.
+func (w *testDeployment) sendBody(entry, path, body string) (int, error) {
+	response, err := w.requestBody(entry, fmt.Sprintf("harm-%d", w.requestCount.Add(1)), path, "key-1", body)
 	if err != nil {
 		return 0, err
 	}
 	_ = response.Body.Close()
 	wait, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	if response.StatusCode == http.StatusServiceUnavailable && wait > time.Minute.Seconds() {
-		return statusBarred, nil
+		return statusBlocked, nil
 	}
 	return response.StatusCode, nil
 }
 
-// cmdBarred sends a body to entry boxes, each of which must refuse it without any server ending: barred /talk/1 BODY entry-1.
-func (w *world) cmdBarred(args []string) error {
-	before := w.harmed(args[0], args[1])
+// cmdCheckBlocked sends a body to entry boxes, each of which must refuse it without any server ending: barred /talk/1 BODY entry-1.
+func (w *testDeployment) cmdCheckBlocked(args []string) error {
+	before := w.reachedServers(args[0], args[1])
 	var findings []string
 	for _, entry := range args[2:] {
-		status, err := w.ask(entry, args[0], args[1])
+		status, err := w.sendBody(entry, args[0], args[1])
 		if err != nil {
 			return err
 		}
-		if status != statusBarred {
+		if status != statusBlocked {
 			findings = append(findings, fmt.Sprintf("%s answered %d", entry, status))
 		}
 	}
-	if reached := w.harmed(args[0], args[1]) - before; reached > 0 {
+	if reached := w.reachedServers(args[0], args[1]) - before; reached > 0 {
 		findings = append(findings, fmt.Sprintf("%d more servers ended, %d in all", reached, before+reached))
 	}
 	if len(findings) > 0 {
@@ -110,25 +110,25 @@
 	return nil
 }
 
-// cmdAnswered sends a body to an entry box and checks the status of its answer, which may break off:
+// cmdAwaitStatus sends a body to an entry box and checks the status of its answer, which may break off:
 // answered entry-1 /talk/1 BODY 200. A server that is just starting may keep it from being answered for a while.
-func (w *world) cmdAnswered(args []string) error {
+func (w *testDeployment) cmdAwaitStatus(args []string) error {
 	return w.await(func() error {
-		status, err := w.ask(args[0], args[1], args[2])
-		if want := number(args[3], 0); err == nil && status != want {
+		status, err := w.sendBody(args[0], args[1], args[2])
+		if want := parseInt(args[3], 0); err == nil && status != want {
 			err = fmt.Errorf("%s answered %d, want %d", args[0], status, want)
 		}
 		return err
 	})
 }
 
-// cmdRunning begins a stream at an entry box and lets its server crash once the stream has been running for a while:
+// cmdCrashMidStream begins a stream at an entry box and lets its server crash once the stream has been running for a while:
 // running entry-1 /talk/1 BODY. The stream goes on elsewhere.
-func (w *world) cmdRunning(args []string) error {
-	id := fmt.Sprintf("running-%d", w.asked.Add(1))
+func (w *testDeployment) cmdCrashMidStream(args []string) error {
+	id := fmt.Sprintf("running-%d", w.requestCount.Add(1))
 	for _, s := range w.servers {
-		s.SetEventInterval(runningPace)
-		defer s.SetEventInterval(eventTime)
+		s.SetEventInterval(slowEventInterval)
+		defer s.SetEventInterval(eventInterval)
 	}
 	response, err := w.requestBody(args[0], id, args[1], "key-1", args[2])
 	if err != nil {
@@ -139,7 +139,7 @@
 		return fmt.Errorf("stream %s: status %d", id, response.StatusCode)
 	}
 	// The first event has come; a server is safe once it has given its answer for a while.
-	time.Sleep(runningBefore)
+	time.Sleep(crashDelay)
 	s, err := w.runner(id)
 	if err != nil {
 		return err
@@ -151,8 +151,8 @@
 
 // runner returns the only server that has begun to run a request. It has to be found before anything is done to it: the request
 // may reach the next server within a millisecond.
-func (w *world) runner(id string) (*worldServer, error) {
-	var runners []*worldServer
+func (w *testDeployment) runner(id string) (*testServer, error) {
+	var runners []*testServer
 	for _, s := range w.servers {
 		if s.Runs()[id] > 0 {
 			runners = append(runners, s)
@@ -164,9 +164,9 @@
 	return runners[0], nil
 }
 
-// runningBefore is for how long a stream runs before its server crashes: longer than a box takes to be sure that it runs well,
+// crashDelay is for how long a stream runs before its server crashes: longer than a box takes to be sure that it runs well,
 // shorter than the stream.
-const runningBefore = 300 * time.Millisecond
+const crashDelay = 300 * time.Millisecond
 
-// runningPace is the time between two events of a stream meanwhile.
-const runningPace = 60 * time.Millisecond
+// slowEventInterval is the time between two events of a stream meanwhile.
+const slowEventInterval = 60 * time.Millisecond
--- a/internal/direct/departures.go
+++ b/internal/direct/departures.go
@@ -16,72 +16,72 @@
 // server that gave it, and told to all processes that may use the server. No entry takes it back: one that
 // says ready may be of before, or written again as the store returns. A later start of the server ends it.
 
-// departuresKept bounds the departures that are kept of servers that are not listed: an entry of before may
+// maxDepartures bounds the departures that are kept of servers that are not listed: an entry of before may
 // come back for some seconds after the store has been away, and a fleet replaces fewer meanwhile.
-const departuresKept = 1024
+const maxDepartures = 1024
 
 // departure is a server's word that it will end.
 type departure struct {
 	// incarnation is the start of the server that gave it; 0 where the platform does not tell starts.
 	incarnation member.Incarnation
-	// heard is when a request's answer last gave it here; zero if it was only told by others.
-	heard time.Time
-	// number orders the departures as they were heard of here.
-	number uint64
+	// received is when a request's answer last gave it here; zero if it was only told by others.
+	received time.Time
+	// seq orders the departures as they were heard of here.
+	seq uint64
 }
 
-// isOf reports whether the word was given by a start of the server, or by a later one.
-func (d *departure) isOf(start member.Incarnation) bool {
-	return start <= d.incarnation || fleet.WasRunning(start, d.heard)
+// appliesTo reports whether the word was given by a start of the server, or by a later one.
+func (d *departure) appliesTo(start member.Incarnation) bool {
+	return start <= d.incarnation || fleet.WasRunning(start, d.received)
 }
 
 // departures are the servers that have said in their answers that they will end.
 type departures struct {
 	byServer map[fleet.ServerID]departure
-	// number is that of the newest.
-	number uint64
-	// starts are the starts that agents have told of servers whose entries tell of an earlier one.
-	starts map[fleet.ServerID]member.Incarnation
+	// seq is that of the newest.
+	seq uint64
+	// incarnations are the starts that agents have told of servers whose entries tell of an earlier one.
+	incarnations map[fleet.ServerID]member.Incarnation
 }
 
 func newDepartures() departures {
-	return departures{byServer: make(map[fleet.ServerID]departure), starts: make(map[fleet.ServerID]member.Incarnation)}
+	return departures{byServer: make(map[fleet.ServerID]departure), incarnations: make(map[fleet.ServerID]member.Incarnation)}
 }
 
 // isLeaving reports whether a server, as it is listed, has said that it will end.
 func (d *departures) isLeaving(server *fleet.Server) bool {
 	left, ok := d.byServer[server.ID]
-	return ok && left.isOf(max(server.Incarnation, d.starts[server.ID]))
+	return ok && left.appliesTo(max(server.Incarnation, d.incarnations[server.ID]))
 }
 
-// take notes the word of one start of a server, heard in an answer at a time or, if that is zero, from others, and
+// record notes the word of one start of a server, heard in an answer at a time or, if that is zero, from others, and
 // reports whether it is news.
-func (d *departures) take(told fleet.Departure, heard time.Time, isListed func(id fleet.ServerID) bool) bool {
+func (d *departures) record(told fleet.Departure, heard time.Time, isListed func(id fleet.ServerID) bool) bool {
 	known, ok := d.byServer[told.Server]
-	if ok && heard.After(known.heard) {
-		known.heard = heard
+	if ok && heard.After(known.received) {
+		known.received = heard
 		d.byServer[told.Server] = known
 	}
-	if ok && told.Incarnation <= known.incarnation || told.Incarnation < d.starts[told.Server] {
+	if ok && told.Incarnation <= known.incarnation || told.Incarnation < d.incarnations[told.Server] {
 		return false
 	}
-	d.number++
-	d.byServer[told.Server] = departure{told.Incarnation, heard, d.number}
-	if len(d.byServer) > departuresKept {
-		d.forget(isListed)
+	d.seq++
+	d.byServer[told.Server] = departure{told.Incarnation, heard, d.seq}
+	if len(d.byServer) > maxDepartures {
+		d.evict(isListed)
 	}
 	return true
 }
 
-// forget drops the older half of the departures of servers that are not listed.
-func (d *departures) forget(isListed func(id fleet.ServerID) bool) {
+// evict drops the older half of the departures of servers that are not listed.
+func (d *departures) evict(isListed func(id fleet.ServerID) bool) {
 	var unlisted []fleet.ServerID
 	for id := range d.byServer {
 		if !isListed(id) {
 			unlisted = append(unlisted, id)
 		}
 	}
-	slices.SortFunc(unlisted, d.byNumber)
+	slices.SortFunc(unlisted, d.compareSeq)
 	for _, id := range unlisted[:len(unlisted)/2] {
 		delete(d.byServer, id)
 	}
@@ -89,44 +89,44 @@
 
 // since returns the departures that were heard of after a number of them, the oldest first.
 func (d *departures) since(told uint64) (left []fleet.Departure, now uint64) {
-	if told == d.number {
+	if told == d.seq {
 		return nil, told
 	}
 	for id, known := range d.byServer {
-		if known.number > told {
+		if known.seq > told {
 			left = append(left, fleet.Departure{Server: id, Incarnation: known.incarnation})
 		}
 	}
-	slices.SortFunc(left, func(a, b fleet.Departure) int { return d.byNumber(a.Server, b.Server) })
-	return left, d.number
+	slices.SortFunc(left, func(a, b fleet.Departure) int { return d.compareSeq(a.Server, b.Server) })
+	return left, d.seq
 }
 
-// byNumber orders servers as their departures were heard of.
-func (d *departures) byNumber(a, b fleet.ServerID) int {
-	return cmp.Compare(d.byServer[a].number, d.byServer[b].number)
+// compareSeq orders servers as their departures were heard of.
+func (d *departures) compareSeq(a, b fleet.ServerID) int {
+	return cmp.Compare(d.byServer[a].seq, d.byServer[b].seq)
 }
 
-// LearnDepartures takes which servers have said that they will end, each for one of its starts, as another process
+// MergeDepartures takes which servers have said that they will end, each for one of its starts, as another process
 // tells.
-func (f *Facts) LearnDepartures(told []fleet.Departure, from string) {
+func (f *FleetState) MergeDepartures(told []fleet.Departure, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.takeDepartures(told, time.Time{}, from)
+	f.recordDepartures(told, time.Time{}, from)
 }
 
-// HearDeparture takes a server's word that it will end from an answer that has just come. The start is the latest
+// ObserveDeparture takes a server's word that it will end from an answer that has just come. The start is the latest
 // that was known when the request was sent.
-func (f *Facts) HearDeparture(server fleet.ServerID, start member.Incarnation, from string) {
+func (f *FleetState) ObserveDeparture(server fleet.ServerID, start member.Incarnation, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.takeDepartures([]fleet.Departure{{Server: server, Incarnation: start}}, f.clock.Now(), from)
+	f.recordDepartures([]fleet.Departure{{Server: server, Incarnation: start}}, f.clock.Now(), from)
 }
 
-// takeDepartures takes departures, heard in an answer at a time or, if that is zero, from others. The lock must be held.
-func (f *Facts) takeDepartures(told []fleet.Departure, heard time.Time, from string) {
+// recordDepartures takes departures, heard in an answer at a time or, if that is zero, from others. The lock must be held.
+func (f *FleetState) recordDepartures(told []fleet.Departure, heard time.Time, from string) {
 	learned := false
 	for _, left := range told {
-		if !f.departures.take(left, heard, f.isListed) {
+		if !f.departures.record(left, heard, f.isListed) {
 			continue
 		}
 		learned = true
@@ -134,28 +134,28 @@
 			Str("from", from).Msg("server has said that it leaves")
 	}
 	if learned {
-		f.publishServers()
+		f.refreshServers()
 	}
 }
 
 // isListed reports whether a server has an entry. The lock must be held.
-func (f *Facts) isListed(id fleet.ServerID) bool {
+func (f *FleetState) isListed(id fleet.ServerID) bool {
 	_, listed := f.servers[id]
 	return listed
 }
 
-// publishServers publishes the servers as they are believed now. The lock must be held.
-func (f *Facts) publishServers() {
+// refreshServers publishes the servers as they are believed now. The lock must be held.
+func (f *FleetState) refreshServers() {
 	view := f.View()
-	f.publish(view.WithServers(f.believedServers(view.Configuration)))
+	f.setView(view.WithServers(f.currentServers(view.Configuration)))
 }
 
-// LearnServer takes what the agent beside the server at an address tells of it: which start of the server
+// MergeAgentReport takes what the agent beside the server at an address tells of it: which start of the server
 // it hears, and whether that leaves. A start that is later than the entry's ends what was said by the one
 // before at once; the entry may not follow for as long as the store is away. Where the platform does not
 // tell starts nothing is taken: the word could be of the server that had the address before, and the next
 // one would be lost for good.
-func (f *Facts) LearnServer(address member.Address, started member.Incarnation, leaving bool, from string) {
+func (f *FleetState) MergeAgentReport(address member.Address, started member.Incarnation, leaving bool, from string) {
 	if started == 0 {
 		return
 	}
@@ -170,32 +170,32 @@
 		if leaving {
 			left = append(left, fleet.Departure{Server: id, Incarnation: started})
 		}
-		if started > max(server.Incarnation, f.departures.starts[id]) && server.Incarnation != 0 {
-			f.departures.starts[id] = started
+		if started > max(server.Incarnation, f.departures.incarnations[id]) && server.Incarnation != 0 {
+			f.departures.incarnations[id] = started
 			began = true
 			f.log.Info().Str("server", string(id)).Uint64("incarnation", uint64(started)).Uint64("listed", uint64(server.Incarnation)).
 				Str("from", from).Msg("server has started again, its entry tells of before")
 		}
 	}
 	if began {
-		f.publishServers()
+		f.refreshServers()
 	}
-	f.takeDepartures(left, time.Time{}, from)
+	f.recordDepartures(left, time.Time{}, from)
 }
 
 // DeparturesSince returns the departures that were heard of after a number of them, and how many there are
 // now.
-func (f *Facts) DeparturesSince(told uint64) (left []fleet.Departure, now uint64) {
+func (f *FleetState) DeparturesSince(told uint64) (left []fleet.Departure, now uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.departures.since(told)
 }
 
-// departuresKnown goes up with each departure that is heard of.
-func (f *Facts) departuresKnown() uint64 {
+// departureSeq goes up with each departure that is heard of.
+func (f *FleetState) departureSeq() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.departures.number
+	return f.departures.seq
 }
 
 func departuresToWire(left []fleet.Departure) []*wire.Departure {
--- a/internal/direct/world_test.go
+++ b/internal/direct/deployment_test.go
@@ -26,35 +26,35 @@
 )
 
 const (
-	pieces    = 6
-	pieceSize = 2000
-	events    = 10
-	eventTime = 20 * time.Millisecond
+	chunkCount    = 6
+	chunkSize     = 2000
+	events        = 10
+	eventInterval = 20 * time.Millisecond
 	// retryExtra lets a box that has just started retry what a script needs.
 	retryExtra = 1000.0
 )
 
-// world is a small deployment in this process.
-type world struct {
-	t         *testing.T
-	store     *standin.Store
-	origin    *standin.Origin
-	listeners []net.Listener
-	storeAt   string
-	originAt  string
-	number    int
-	version   uint64
-
-	servers   map[string]*worldServer
-	processes map[string]*direct.Process
-	clocks    map[string]*machineClock
-	loaded    map[string]*settings.Settings
-	entries   []string
-
-	// load holds the results of cmdLoad.
-	load loadResults
-	// asked numbers the requests of commands that make several.
-	asked atomic.Int64
+// testDeployment is a small deployment in this process.
+type testDeployment struct {
+	t             *testing.T
+	store         *standin.Store
+	origin        *standin.Origin
+	listeners     []net.Listener
+	storeAddress  string
+	originAddress string
+	number        int
+	version       uint64
+
+	servers        map[string]*testServer
+	processes      map[string]*direct.Process
+	clocks         map[string]*machineClock
+	settingsByName map[string]*settings.Settings
+	entries        []string
+
+	// loadResults holds the results of cmdLoad.
+	loadResults loadResults
+	// requestCount numbers the requests of commands that make several.
+	requestCount atomic.Int64
 	// restarts are the servers that have crashed and will start again.
 	restarts sync.WaitGroup
 
@@ -62,7 +62,7 @@
 	streams map[string]chan error
 }
 
-type worldServer struct {
+type testServer struct {
 	*standin.Server
 	host    *standin.Host
 	id      string
@@ -70,23 +70,23 @@
 	address string
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{
-		t: t, store: standin.NewStore(), origin: standin.NewOrigin(pieces, pieceSize),
-		servers: make(map[string]*worldServer), processes: make(map[string]*direct.Process),
-		clocks: make(map[string]*machineClock),
-		loaded: make(map[string]*settings.Settings), streams: make(map[string]chan error), version: 1, number: int(worlds.Add(1)),
+func newTestDeployment(t *testing.T) *testDeployment {
+	w := &testDeployment{
+		t: t, store: standin.NewStore(), origin: standin.NewOrigin(chunkCount, chunkSize),
+		servers: make(map[string]*testServer), processes: make(map[string]*direct.Process),
+		clocks:         make(map[string]*machineClock),
+		settingsByName: make(map[string]*settings.Settings), streams: make(map[string]chan error), version: 1, number: int(deploymentCount.Add(1)),
 	}
-	w.storeAt = w.serve("127.0.0.1:0", w.store)
-	w.originAt = w.serve("127.0.0.1:0", w.origin)
+	w.storeAddress = w.serve("127.0.0.1:0", w.store)
+	w.originAddress = w.serve("127.0.0.1:0", w.origin)
 	return w
 }
 
-// worlds counts the worlds of this process, so that each has addresses of its own.
-var worlds atomic.Int32
+// deploymentCount counts the worlds of this process, so that each has addresses of its own.
+var deploymentCount atomic.Int32
 
 // ip returns an address that no other world uses, nor one of another test process.
-func (w *world) ip(group, n int) string {
+func (w *testDeployment) ip(group, n int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 20+os.Getpid()%200, w.number, 50*group+n)
 }
 
@@ -107,7 +107,7 @@
 	portMetrics
 )
 
-func (w *world) serve(address string, handler http.Handler) string {
+func (w *testDeployment) serve(address string, handler http.Handler) string {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -118,7 +118,7 @@
 	return listener.Addr().String()
 }
 
-func (w *world) close() {
+func (w *testDeployment) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	for _, process := range w.processes {
@@ -135,27 +135,27 @@
 
 // cmdPlatform starts servers and writes the first configuration:
 // platform models=2 plain=1.
-func (w *world) cmdPlatform(args []string) error {
-	given := options(args)
-	for i := range number(given["models"], 0) {
+func (w *testDeployment) cmdPlatform(args []string) error {
+	given := parseOptions(args)
+	for i := range parseInt(given["models"], 0) {
 		w.addServer(fmt.Sprintf("model-%d", i+1), "llm", w.ip(groupModel, i+1)+":0", "daka")
 	}
-	for i := range number(given["plain"], 0) {
+	for i := range parseInt(given["plain"], 0) {
 		w.addServer(fmt.Sprintf("plain-%d", i+1), "maps", w.ip(groupPlain, i+1)+":0", "")
 	}
 	w.putConfig(1, []string{"key-1", "key-2"})
 	return nil
 }
 
-func (w *world) addServer(name, service, address, model string) {
-	s := &worldServer{id: "i-" + name, service: service}
+func (w *testDeployment) addServer(name, service, address, model string) {
+	s := &testServer{id: "i-" + name, service: service}
 	version := uint64(0)
 	if model != "" {
 		version = 1
 	}
 	s.Server = standin.NewServer(standin.ServerOptions{
-		ID: s.id, Model: model, Version: version, Chunks: pieces, Digest: w.origin.Digest,
-		Events: events, EventInterval: eventTime, LoadTime: 50 * time.Millisecond,
+		ID: s.id, Model: model, Version: version, Chunks: chunkCount, Digest: w.origin.Digest,
+		Events: events, EventInterval: eventInterval, LoadTime: 50 * time.Millisecond,
 	})
 	var err error
 	if s.host, err = standin.NewHost(address, s); err != nil {
@@ -167,7 +167,7 @@
 }
 
 // putConfig writes a configuration with three routes.
-func (w *world) putConfig(version int, keys []string) {
+func (w *testDeployment) putConfig(version int, keys []string) {
 	route := func(name, path, kind, service string, timeout, attempts int, resumable bool) map[string]any {
 		return map[string]any{
 			"Name": name, "Host": "a.example", "PathPrefix": path, "Type": kind, "TimeoutMs": timeout, "TargetLatencyMs": 400,
@@ -176,7 +176,7 @@
 	}
 	engine := map[string]any{
 		"Slots": 4, "Models": []map[string]any{{"Name": "daka", "WarmupS": 0.05}}, "layers": standin.LayerCount,
-		"chunks": pieces, "chunk_bytes": pieceSize, "step_ms": 7.0, "read_per_s": 30000.0, "stride": 6,
+		"chunks": chunkCount, "chunk_bytes": chunkSize, "step_ms": 7.0, "read_per_s": 30000.0, "stride": 6,
 	}
 	document := map[string]any{
 		"Version": version,
@@ -189,7 +189,7 @@
 		"Services": []any{
 			map[string]any{"Name": "llm", "MaxConnections": 50, "Engine": engine},
 			map[string]any{"Name": "maps", "MaxConnections": 50},
-			map[string]any{"Name": "weights", "origin": w.originAt, "MaxConnections": 40},
+			map[string]any{"Name": "weights", "origin": w.originAddress, "MaxConnections": 40},
 		},
 		"Limits":  map[string]any{"MaxBodyBytes": 1000},
 		"Tenants": []any{map[string]any{"Name": "kumiai", "ApiKeys": keys, "Priority": 1}},
@@ -202,26 +202,26 @@
 }
 
 // cmdConfig writes another configuration: config 2 key-1.
-func (w *world) cmdConfig(args []string) error {
-	w.putConfig(number(args[0], 1), args[1:])
+func (w *testDeployment) cmdConfig(args []string) error {
+	w.putConfig(parseInt(args[0], 1), args[1:])
 	return nil
 }
 
-// cmdName names new weights: name 2.
-func (w *world) cmdName(args []string) error {
-	w.version = uint64(number(args[0], 1))
+// cmdPublish names new weights: name 2.
+func (w *testDeployment) cmdPublish(args []string) error {
+	w.version = uint64(parseInt(args[0], 1))
 	raw, err := json.Marshal(map[string]any{"Model": "daka", "Version": w.version})
 	w.store.Put("op/version/daka", raw)
 	return err
 }
 
-func (w *world) settings(role settings.Role, box, ip string, peersPort int) *settings.Settings {
+func (w *testDeployment) settings(role settings.Role, box, ip string, peersPort int) *settings.Settings {
 	loaded := &settings.Settings{
 		Role: role, Mode: settings.ModeDirect, Box: box, Region: "riga", FailureDomain: "hall-a",
 		Listen: settings.Listen{Peers: fmt.Sprintf("%s:%d", ip, peersPort), Metrics: fmt.Sprintf("%s:%d", ip, portMetrics)},
 		Peers:  settings.Peers{Entries: w.entries},
 		Direct: settings.Direct{
-			Store: w.storeAt, AgentPort: portAgents, MemoryLimitMegabytes: 64, LinkMbps: 100, RetryExtra: new(retryExtra),
+			Store: w.storeAddress, AgentPort: portAgents, MemoryLimitMegabytes: 64, LinkMbps: 100, RetryExtra: new(retryExtra),
 			Domains: map[string]string{"hall-a": "riga"},
 		},
 		Stop: settings.Stop{Grace: settings.Duration(6 * time.Second)},
@@ -231,15 +231,15 @@
 }
 
 // cmdEntry starts entry boxes: entry entry-1 entry-2. They know of the first one.
-func (w *world) cmdEntry(args []string) error {
+func (w *testDeployment) cmdEntry(args []string) error {
 	for _, name := range args {
-		if old := w.loaded[name]; old != nil {
+		if old := w.settingsByName[name]; old != nil {
 			if err := w.start(name, old); err != nil {
 				return err
 			}
 			continue
 		}
-		ip := w.ip(groupEntry, len(w.loaded)+1)
+		ip := w.ip(groupEntry, len(w.settingsByName)+1)
 		loaded := w.settings(settings.RoleEntry, name, ip, portPeers)
 		loaded.Listen.Callers = fmt.Sprintf("%s:%d", ip, portCallers)
 		loaded.Listen.Readiness = fmt.Sprintf("%s:%d", ip, portReadiness)
@@ -253,7 +253,7 @@
 }
 
 // cmdAgent starts the agents of model servers: agent model-1.
-func (w *world) cmdAgent(args []string) error {
+func (w *testDeployment) cmdAgent(args []string) error {
 	for _, name := range args {
 		server := w.servers[name]
 		ip, _, err := net.SplitHostPort(server.address)
@@ -269,21 +269,21 @@
 	return nil
 }
 
-func (w *world) start(name string, loaded *settings.Settings) error {
+func (w *testDeployment) start(name string, loaded *settings.Settings) error {
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
-	adapter := platform.New(platform.Addresses{Store: member.Address(w.storeAt), Server: member.Address(loaded.Direct.Server)}, client)
+	adapter := platform.New(platform.Addresses{Store: member.Address(w.storeAddress), Server: member.Address(loaded.Direct.Server)}, client)
 	log := zerolog.New(zerolog.NewTestWriter(w.t)).With().Str("process", name).Logger()
 	clock := &machineClock{Clock: clockwork.NewRealClock()}
 	process, err := direct.Start(loaded, direct.Options{Clock: clock, Log: log, Platform: adapter})
 	if err != nil {
 		return err
 	}
-	w.processes[name], w.loaded[name], w.clocks[name] = process, loaded, clock
+	w.processes[name], w.settingsByName[name], w.clocks[name] = process, loaded, clock
 	return nil
 }
 
-// cmdEnd ends a process in a planned stop: end entry-1.
-func (w *world) cmdEnd(args []string) error {
+// cmdStop ends a process in a planned stop: end entry-1.
+func (w *testDeployment) cmdStop(args []string) error {
 	process := w.processes[args[0]]
 	delete(w.processes, args[0])
 	return process.Stop(context.Background())
@@ -291,7 +291,7 @@
 
 // cmdStore sets a fault or forgets the history: store refuse, store sound, store
 // compact, store remove SERVER, store draining SERVER, store ready SERVER.
-func (w *world) cmdStore(args []string) error {
+func (w *testDeployment) cmdStore(args []string) error {
 	switch args[0] {
 	case "sound":
 		w.store.SetFault(standin.FaultNone)
@@ -312,10 +312,10 @@
 // server plain-1 mute, server plain-1 limit=1.9, server plain-1 dead, server model-1
 // restart=i-new, server model-1 restart=same, server model-1 leaving, server plain-1 rest=5 (the time that
 // it wants to be left alone for, as it writes it).
-func (w *world) cmdServer(args []string) error {
-	s, given := w.servers[args[0]], options(args[1:])
-	s.TruncateStreamAt(number(given["cut"], 0))
-	s.SetErrorStatus(number(given["status"], 0))
+func (w *testDeployment) cmdServer(args []string) error {
+	s, given := w.servers[args[0]], parseOptions(args[1:])
+	s.TruncateStreamAt(parseInt(given["cut"], 0))
+	s.SetErrorStatus(parseInt(given["status"], 0))
 	_, mute := given["mute"]
 	s.SetUnresponsive(mute)
 	if _, leaving := given["leaving"]; leaving {
@@ -332,7 +332,7 @@
 		// Its entry tells of the start before until the server writes again, as it may not
 		// for a while.
 		s.Restart(s.id)
-		s.SetVersion(uint64(number(given["version"], 0)))
+		s.SetVersion(uint64(parseInt(given["version"], 0)))
 	default:
 		w.store.Remove("servers/" + s.id)
 		s.id = id
@@ -342,8 +342,8 @@
 	return nil
 }
 
-// cmdForeign writes entries as other writers may.
-func (w *world) cmdForeign([]string) error {
+// cmdForeignEntries writes entries as other writers may.
+func (w *testDeployment) cmdForeignEntries([]string) error {
 	for i, entry := range []string{
 		`{"Service":"llm","Zone":"hall-a","Slots":4,"State":"ready"}`,
 		`{"Service":"llm","Address":"127.0.0.1:1","Zone":"hall-a","Slots":4,"State":"parked"}`,
@@ -357,23 +357,23 @@
 }
 
 // cmdOrigin spoils pieces: origin spoil=3, or bounds what was sent: origin most=9.
-func (w *world) cmdOrigin(args []string) error {
-	given := options(args)
-	if most := number(given["most"], 0); most > 0 && w.origin.Sent() > most {
+func (w *testDeployment) cmdOrigin(args []string) error {
+	given := parseOptions(args)
+	if most := parseInt(given["most"], 0); most > 0 && w.origin.Sent() > most {
 		return fmt.Errorf("the origin sent %d pieces, want at most %d", w.origin.Sent(), most)
 	}
-	w.origin.CorruptNext(number(given["spoil"], 0))
+	w.origin.CorruptNext(parseInt(given["spoil"], 0))
 	return nil
 }
 
 // request sends a caller's request to an entry box.
-func (w *world) request(entry, id, path, key string) (*http.Response, error) {
+func (w *testDeployment) request(entry, id, path, key string) (*http.Response, error) {
 	return w.requestBody(entry, id, path, key, "draft")
 }
 
 // requestBody is request with a body of its own.
-func (w *world) requestBody(entry, id, path, key, body string) (*http.Response, error) {
-	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+w.loaded[entry].Listen.Callers+path, strings.NewReader(body))
+func (w *testDeployment) requestBody(entry, id, path, key, body string) (*http.Response, error) {
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+w.settingsByName[entry].Listen.Callers+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -382,12 +382,12 @@
 	request.Header.Set("X-Deadline-Ms", "4000")
 	request.Header.Set("X-Token-Usage", "100,60")
 	request.Header.Set("Authorization", "Bearer "+key)
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitLimit}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout}
 	return client.Do(request)
 }
 
 // wholeStream reads a stream and checks that each event came once, in order.
-func (w *world) wholeStream(entry, id string) error {
+func (w *testDeployment) wholeStream(entry, id string) error {
 	response, err := w.request(entry, id, "/talk/1", "key-1")
 	if err != nil {
 		return err
@@ -411,10 +411,10 @@
 }
 
 // cmdStream reads a stream whole: stream entry-1 s-1.
-func (w *world) cmdStream(args []string) error { return w.wholeStream(args[0], args[1]) }
+func (w *testDeployment) cmdStream(args []string) error { return w.wholeStream(args[0], args[1]) }
 
-// cmdBegin begins a stream in the background: begin entry-1 s-1.
-func (w *world) cmdBegin(args []string) error {
+// cmdStartStream begins a stream in the background: begin entry-1 s-1.
+func (w *testDeployment) cmdStartStream(args []string) error {
 	done := make(chan error, 1)
 	w.mu.Lock()
 	w.streams[args[1]] = done
@@ -430,24 +430,24 @@
 	})
 }
 
-// cmdWhole waits for a stream that was begun: whole s-1.
-func (w *world) cmdWhole(args []string) error {
+// cmdAwaitStream waits for a stream that was begun: whole s-1.
+func (w *testDeployment) cmdAwaitStream(args []string) error {
 	select {
 	case err := <-w.streams[args[0]]:
 		return err
-	case <-time.After(waitLimit):
+	case <-time.After(waitTimeout):
 		return errors.New("the stream has not ended")
 	}
 }
 
-// cmdAsk makes a request and checks the status: ask entry-1 r-1 /look/1 key-1 200.
-func (w *world) cmdAsk(args []string) error {
+// cmdRequest makes a request and checks the status: ask entry-1 r-1 /look/1 key-1 200.
+func (w *testDeployment) cmdRequest(args []string) error {
 	response, err := w.request(args[0], args[1], args[2], args[3])
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	if want := number(args[4], 0); response.StatusCode != want {
+	if want := parseInt(args[4], 0); response.StatusCode != want {
 		return fmt.Errorf("request %s: status %d, want %d", args[1], response.StatusCode, want)
 	}
 	if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get("Retry-After") == "" {
@@ -456,8 +456,8 @@
 	return nil
 }
 
-// cmdRan checks how often a request ran on all servers: ran s-1 1 [tenant].
-func (w *world) cmdRan(args []string) error {
+// cmdCheckRuns checks how often a request ran on all servers: ran s-1 1 [tenant].
+func (w *testDeployment) cmdCheckRuns(args []string) error {
 	runs := 0
 	for _, s := range w.servers {
 		runs += s.Runs()[args[0]]
@@ -465,7 +465,7 @@
 			return fmt.Errorf("request %s came with organisation %q, want %q", args[0], tenant, args[2])
 		}
 	}
-	if runs != number(args[1], 0) {
+	if runs != parseInt(args[1], 0) {
 		return fmt.Errorf("request %s ran %d times, want %s", args[0], runs, args[1])
 	}
 	return nil
@@ -474,16 +474,16 @@
 // cmdAwait waits for a condition: await ready entry-1, await version 2, await
 // status entry-1 /look/1 key-2 401, await stream entry-1, await directory entry-1 3, await
 // used entry-1 plain-1 /look/1 (a request is answered by that server), await avoids entry-1 plain-1 /look/1 40 200.
-func (w *world) cmdAwait(args []string) error {
+func (w *testDeployment) cmdAwait(args []string) error {
 	switch args[0] {
 	case "ready":
-		return w.await(func() error { return w.ready(args[1]) })
+		return w.await(func() error { return w.checkReady(args[1]) })
 	case "directory":
-		return w.await(func() error { return w.leadsTo(args[1], number(args[2], 0)) })
+		return w.await(func() error { return w.checkDirectory(args[1], parseInt(args[2], 0)) })
 	case "version":
 		return w.await(func() error {
 			for name, s := range w.servers {
-				if s.service == "llm" && s.Version() != uint64(number(args[1], 0)) {
+				if s.service == "llm" && s.Version() != uint64(parseInt(args[1], 0)) {
 					return fmt.Errorf("%s has version %d", name, s.Version())
 				}
 			}
@@ -493,12 +493,12 @@
 		tries := 0
 		return w.await(func() error {
 			tries++
-			return w.cmdAsk([]string{args[1], fmt.Sprintf("await-%s-%d", args[4], tries), args[2], args[3], args[4]})
+			return w.cmdRequest([]string{args[1], fmt.Sprintf("await-%s-%d", args[4], tries), args[2], args[3], args[4]})
 		})
 	case "avoids":
-		return w.await(func() error { return w.cmdAvoids(args[1:]) })
+		return w.await(func() error { return w.cmdCheckAvoided(args[1:]) })
 	case "used":
-		return w.await(func() error { return w.isUsed(args[1], args[2], args[3]) })
+		return w.await(func() error { return w.checkUsed(args[1], args[2], args[3]) })
 	case "stream":
 		tries := 0
 		return w.await(func() error {
@@ -509,8 +509,8 @@
 	return fmt.Errorf("await %s is not known", args[0])
 }
 
-func (w *world) ready(entry string) error {
-	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+w.loaded[entry].Listen.Readiness+"/cinderslip/ready", http.NoBody)
+func (w *testDeployment) checkReady(entry string) error {
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+w.settingsByName[entry].Listen.Readiness+"/cinderslip/ready", http.NoBody)
 	if err != nil {
 		return err
 	}
@@ -525,9 +525,9 @@
 	return nil
 }
 
-// leadsTo checks to how many entry boxes a box leads callers.
-func (w *world) leadsTo(entry string, want int) error {
-	address := "http://" + w.loaded[entry].Listen.Directory + "/cinderslip/resolve?Name=maps.example&Region=riga&Zone=hall-a"
+// checkDirectory checks to how many entry boxes a box leads callers.
+func (w *testDeployment) checkDirectory(entry string, want int) error {
+	address := "http://" + w.settingsByName[entry].Listen.Directory + "/cinderslip/resolve?Name=maps.example&Region=riga&Zone=hall-a"
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, address, http.NoBody)
 	if err != nil {
 		return err
@@ -550,8 +550,8 @@
 	return nil
 }
 
-func (w *world) await(condition func() error) error {
-	deadline := time.Now().Add(waitLimit)
+func (w *testDeployment) await(condition func() error) error {
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		err := condition()
 		if err == nil || time.Now().After(deadline) {
@@ -561,8 +561,8 @@
 	}
 }
 
-// cmdSound checks that no server was sent what it never should be.
-func (w *world) cmdSound([]string) error {
+// cmdCheckHealthy checks that no server was sent what it never should be.
+func (w *testDeployment) cmdCheckHealthy([]string) error {
 	for name, s := range w.servers {
 		if findings := s.Violations(); len(findings) > 0 {
 			return fmt.Errorf("%s: %v", name, findings)
--- a/internal/direct/direct.go
+++ b/internal/direct/direct.go
@@ -56,18 +56,18 @@
 
 // Process is one running role.
 type Process struct {
-	kernel   *kernel.Registry
-	settings *settings.Settings
-	options  Options
-	metrics  *Metrics
-	mux      *drpcmux.Mux
-	peers    *daemon.Peers
-	facts    *Facts
-	members  *Members
-	entries  *EntryBoxes
-	suspects *Suspects
-	front    *Front
-	status   *Status
+	services     *kernel.Registry
+	settings     *settings.Settings
+	options      Options
+	metrics      *Metrics
+	mux          *drpcmux.Mux
+	peers        *daemon.Peers
+	fleetState   *FleetState
+	membership   *Membership
+	entries      *EntryBoxes
+	suspects     *SuspectRequests
+	callerServer *CallerServer
+	status       *StatusServer
 }
 
 // step starts one part of a process.
@@ -79,19 +79,19 @@
 // The steps of each role, in order. Services stop in the reverse order.
 var (
 	entrySteps = []step{
-		{"facts", (*Process).startFacts},
-		{"members", (*Process).startMembers},
+		{"facts", (*Process).startFleetState},
+		{"members", (*Process).startMembership},
 		{"status", (*Process).startStatus},
-		{"front", (*Process).startFront},
+		{"front", (*Process).startCallerServer},
 		{"peers", (*Process).startPeers},
-		{"servers", (*Process).startServers},
-		{"telling", (*Process).startTelling},
+		{"servers", (*Process).startAgentFollower},
+		{"telling", (*Process).startBroadcast},
 		{"peer server", (*Process).startPeerServer},
 		{"metrics", (*Process).startMetrics},
 		{"directory", (*Process).startDirectory},
 	}
 	agentSteps = []step{
-		{"facts", (*Process).startAgentFacts},
+		{"facts", (*Process).startEntryFollower},
 		{"loader", (*Process).startLoader},
 		{"peer server", (*Process).startPeerServer},
 		{"metrics", (*Process).startMetrics},
@@ -101,14 +101,14 @@
 // Start runs the steps of a role. If one fails, what was started is stopped.
 func Start(loaded *settings.Settings, options Options) (*Process, error) {
 	p := &Process{
-		kernel: kernel.New(), settings: loaded, options: options,
+		services: kernel.New(), settings: loaded, options: options,
 		metrics: NewMetrics(), mux: drpcmux.New(), peers: daemon.NewPeers(),
 	}
-	p.suspects = newSuspects(options.Clock, options.Log, p.metrics)
+	p.suspects = newSuspectRequests(options.Clock, options.Log, p.metrics)
 	if options.LogQueue != nil {
 		options.LogQueue.Dropped = p.metrics.logDropped.Inc
 	}
-	if err := p.kernel.Register(p.peers); err != nil {
+	if err := p.services.Register(p.peers); err != nil {
 		return nil, err
 	}
 	steps := agentSteps
@@ -119,7 +119,7 @@
 		if err := step.run(p); err != nil {
 			ctx, cancel := clockwork.WithTimeout(context.Background(), options.Clock, time.Second)
 			defer cancel()
-			return nil, errors.Join(fmt.Errorf("starting %s: %w", step.name, err), p.kernel.Stop(ctx))
+			return nil, errors.Join(fmt.Errorf("starting %s: %w", step.name, err), p.services.Stop(ctx))
 		}
 	}
 	return p, nil
@@ -131,11 +131,11 @@
 	grace := time.Duration(p.settings.Stop.Grace) - stopReserve
 	stopCtx, cancel := clockwork.WithTimeout(ctx, p.options.Clock, grace)
 	defer cancel()
-	if p.front != nil {
+	if p.callerServer != nil {
 		p.status.Leave()
-		p.front.Leave(stopCtx, grace)
+		p.callerServer.Leave(stopCtx, grace)
 	}
-	return p.kernel.Stop(stopCtx)
+	return p.services.Stop(stopCtx)
 }
 
 // stopReserve is kept of the grace for ending the process itself.
@@ -166,13 +166,13 @@
 	return member.Region(p.settings.Direct.Domains[string(domain)])
 }
 
-// isNear reports whether a failure domain is in the own region.
-func (p *Process) isNear(domain member.FailureDomain) bool { return p.regionOf(domain) == p.region() }
+// isLocal reports whether a failure domain is in the own region.
+func (p *Process) isLocal(domain member.FailureDomain) bool { return p.regionOf(domain) == p.region() }
 
 func (p *Process) startPeerServer() error {
 	listener, err := listen(p.settings.Listen.Peers)
 	if err != nil {
 		return err
 	}
-	return p.kernel.Register(daemon.NewPeerServer(listener, p.mux, p.options.Log))
+	return p.services.Register(daemon.NewPeerServer(listener, p.mux, p.options.Log))
 }
--- a/internal/direct/directory.go
+++ b/internal/direct/directory.go
@@ -14,41 +14,41 @@
 // Directory tells callers which entry boxes to use.
 type Directory struct {
 	protocol provider.CallerProtocol
-	status   *Status
+	status   *StatusServer
 	entries  *EntryBoxes
 	self     member.Record
-	keep     time.Duration
+	ttl      time.Duration
 }
 
-// directoryLimit bounds the addresses of one answer.
-const directoryLimit = 64
+// maxDirectoryAddresses bounds the addresses of one answer.
+const maxDirectoryAddresses = 64
 
 // startDirectory answers where callers should go, and whether this box is ready.
 func (p *Process) startDirectory() error {
 	d := &Directory{
-		protocol: p.options.Platform.Callers, status: p.status, entries: p.entries, self: p.members.own,
-		keep: time.Duration(p.settings.Direct.DirectoryTTL),
+		protocol: p.options.Platform.Callers, status: p.status, entries: p.entries, self: p.membership.own,
+		ttl: time.Duration(p.settings.Direct.DirectoryTTL),
 	}
 	router := newRouter()
 	router.GET(d.protocol.DirectoryPath, d.resolve)
-	service, err := p.serveHTTP("directory", p.settings.Listen.Directory, router, smallHeaders)
+	service, err := p.serveHTTP("directory", p.settings.Listen.Directory, router, maxInternalHeaderBytes)
 	if err != nil {
 		return err
 	}
-	if err := p.kernel.Register(service); err != nil {
+	if err := p.services.Register(service); err != nil {
 		return err
 	}
 	readiness := newRouter()
-	readiness.GET(d.protocol.ReadinessPath, d.ready)
-	if service, err = p.serveHTTP("readiness", p.settings.Listen.Readiness, readiness, smallHeaders); err != nil {
+	readiness.GET(d.protocol.ReadinessPath, d.serveReadiness)
+	if service, err = p.serveHTTP("readiness", p.settings.Listen.Readiness, readiness, maxInternalHeaderBytes); err != nil {
 		return err
 	}
-	p.front.duties.Go(p.front.watchReady(p.status))
-	return p.kernel.Register(service)
+	p.callerServer.tasks.Go(p.callerServer.watchReady(p.status))
+	return p.services.Register(service)
 }
 
-// ready answers the platform's question.
-func (d *Directory) ready(c echo.Context) error {
+// serveReadiness answers the platform's question.
+func (d *Directory) serveReadiness(c echo.Context) error {
 	if !d.status.Ready() {
 		return c.NoContent(http.StatusServiceUnavailable)
 	}
@@ -71,15 +71,15 @@
 		}
 	}
 	chosen := all
-	if len(near) >= nearLeast {
+	if len(near) >= minRegionalBoxes {
 		chosen = near
 	}
 	if len(chosen) == 0 {
 		return c.NoContent(http.StatusServiceUnavailable)
 	}
 	rand.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
-	return c.JSON(http.StatusOK, d.protocol.NewDirectoryResponse(chosen[:min(len(chosen), directoryLimit)], d.keep))
+	return c.JSON(http.StatusOK, d.protocol.NewDirectoryResponse(chosen[:min(len(chosen), maxDirectoryAddresses)], d.ttl))
 }
 
-// nearLeast is how many entry boxes of a caller's region suffice for it.
-const nearLeast = 2
+// minRegionalBoxes is how many entry boxes of a caller's region suffice for it.
+const minRegionalBoxes = 2
--- a/internal/direct/agentfacts_test.go
+++ b/internal/direct/entryfollower_test.go
@@ -14,8 +14,8 @@
 	"github.com/cinderslip/cinderslip/internal/daemon"
 )
 
-// refusingAddress returns an address at which nothing listens.
-func refusingAddress(t *testing.T) string {
+// closedAddress returns an address at which nothing listens.
+func closedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -23,17 +23,17 @@
 	return listener.Addr().String()
 }
 
-func TestAnEntryBoxThatCannotBeAskedForOthersIsLoggedNowAndThen(t *testing.T) {
+func TestFailedDiscoveryIsLoggedAtIntervals(t *testing.T) {
 	var log bytes.Buffer
 	clock := clockwork.NewFakeClock()
-	seeds := []string{refusingAddress(t), refusingAddress(t)}
+	seeds := []string{closedAddress(t), closedAddress(t)}
 	follower := &entryFollower{
-		suspects: noSuspects(), facts: NewFacts(clock, zerolog.New(&log), NewMetrics()), peers: daemon.NewPeers(), seeds: seeds, logged: make(map[string]time.Time),
+		suspects: noSuspectRequests(), fleetState: NewFleetState(clock, zerolog.New(&log), NewMetrics()), peers: daemon.NewPeers(), seeds: seeds, lastLogged: make(map[string]time.Time),
 	}
 	lines := func() []string {
 		log.Reset()
-		follower.ask(t.Context())
-		require.ElementsMatch(t, seeds, follower.known, "those of the settings are followed all the same")
+		follower.discover(t.Context())
+		require.ElementsMatch(t, seeds, follower.candidates, "those of the settings are followed all the same")
 		return strings.Split(strings.TrimSpace(log.String()), "\n")
 	}
 	first := lines()
@@ -44,7 +44,7 @@
 	for _, line := range first {
 		require.Contains(t, line, "cannot connect", "the reason")
 	}
-	clock.Advance(notAskedPause - time.Millisecond)
+	clock.Advance(discoveryLogInterval - time.Millisecond)
 	require.Equal(t, []string{""}, lines())
 	clock.Advance(time.Millisecond)
 	require.Len(t, lines(), len(seeds))
--- a/internal/direct/exchange.go
+++ b/internal/direct/exchange.go
@@ -31,9 +31,9 @@
 	arrived      time.Time
 	// deadline is when the caller's and the route's time is over.
 	deadline time.Time
-	// sinceFirst is how long before this request its caller first asked, as far as is known;
+	// sinceFirstTry is how long before this request its caller first asked, as far as is known;
 	// 0 for one that was not here before.
-	sinceFirst time.Duration
+	sinceFirstTry time.Duration
 	// fingerprint identifies what is asked, also when the caller asks again.
 	fingerprint route.Fingerprint
 	// content identifies what a server gets of it; nil until that is asked for.
@@ -49,19 +49,19 @@
 	attempts    int
 	unreachable int
 	misdirected int
-	// begun is set once the head of an answer has been passed on, after firstAfter.
-	begun      bool
-	firstAfter time.Duration
-	// longestPause is the longest time between two events that were passed on, lastPassed
+	// started is set once the head of an answer has been passed on, after ttfb.
+	started bool
+	ttfb    time.Duration
+	// longestPause is the longest time between two events that were passed on, lastForwarded
 	// when the last one was.
-	longestPause time.Duration
-	lastPassed   time.Time
-	// lastEvent is the id of the last event that was passed on.
-	lastEvent string
+	longestPause  time.Duration
+	lastForwarded time.Time
+	// lastEventID is the id of the last event that was passed on.
+	lastEventID string
 }
 
 // serve answers one request.
-func (f *Front) serve(c echo.Context) error {
+func (f *CallerServer) serve(c echo.Context) error {
 	f.accepted.Add(1)
 	f.active.Add(1)
 	defer f.active.Add(-1)
@@ -70,36 +70,36 @@
 	}
 	if f.leaving.Load() {
 		x.writer.Header().Set("Connection", "close")
-		if x.arrived.Sub(f.leavingSince) >= leaveTakes {
-			f.refuse(x, "leaving", refusedWait)
+		if x.arrived.Sub(f.leavingSince) >= leaveAcceptDuration {
+			f.refuse(x, "leaving", refusedRetryAfter)
 			return nil
 		}
 	}
 	if !f.admit(x) || !f.readBody(x) {
 		return nil
 	}
-	f.setTimes(x)
+	f.setDeadline(x)
 	f.run(x)
 	return nil
 }
 
 // admit finds the route and the organisation of a request. If there is none, the
 // answer is written.
-func (f *Front) admit(x *exchange) bool {
+func (f *CallerServer) admit(x *exchange) bool {
 	view := f.awaitConfiguration(x)
 	if view.Configuration == nil {
-		f.refuse(x, "no-configuration", max(noConfigurationWait, x.Deadline/3))
+		f.refuse(x, "no-configuration", max(noConfigurationRetryAfter, x.Deadline/3))
 		return false
 	}
 	x.configuration = view.Configuration.Version
 	var ok bool
 	if x.route, ok = view.Route(hostOf(x.request), x.request.URL.EscapedPath()); !ok {
-		f.denyUnlessUnread(x, http.StatusNotFound, "no-route", view.Configuration.Unreadable.Routes)
+		f.rejectOrRefuse(x, http.StatusNotFound, "no-route", view.Configuration.Unreadable.Routes)
 		return false
 	}
 	if len(view.Configuration.Organisations) > 0 && !x.route.Public {
 		if x.organisation, ok = view.Organisation(x.Key); !ok {
-			f.denyUnlessUnread(x, http.StatusUnauthorized, "unknown-key", view.Configuration.Unreadable.Organisations && x.Key != "")
+			f.rejectOrRefuse(x, http.StatusUnauthorized, "unknown-key", view.Configuration.Unreadable.Organisations && x.Key != "")
 			return false
 		}
 	}
@@ -107,12 +107,12 @@
 	return true
 }
 
-// denyUnlessUnread rejects a request for what the configuration does not have. Where it may
+// rejectOrRefuse rejects a request for what the configuration does not have. Where it may
 // be in a part that could not be read, the request is refused for now: a caller who is denied
 // something does not come back.
-func (f *Front) denyUnlessUnread(x *exchange, status int, reason string, unread bool) {
+func (f *CallerServer) rejectOrRefuse(x *exchange, status int, reason string, unread bool) {
 	if unread {
-		f.refuse(x, "configuration-unread", max(noConfigurationWait, x.Deadline/3))
+		f.refuse(x, "configuration-unread", max(noConfigurationRetryAfter, x.Deadline/3))
 		return
 	}
 	f.reject(x, status, reason)
@@ -121,16 +121,16 @@
 // awaitConfiguration returns what is believed, once a configuration is known or the
 // request has waited for one for long enough. A box that has just started reads one
 // within a few round trips, and seconds later if the store is away too.
-func (f *Front) awaitConfiguration(x *exchange) *fleet.View {
-	view := f.facts.View()
+func (f *CallerServer) awaitConfiguration(x *exchange) *fleet.View {
+	view := f.fleetState.View()
 	if view.Configuration != nil {
 		return view
 	}
-	wait := min(configurationLongest, time.Duration(configurationPart*float64(x.Deadline)))
+	wait := min(maxConfigurationWait, time.Duration(configurationWaitFraction*float64(x.Deadline)))
 	timeout := f.clock.After(wait)
 	for {
-		changed := f.facts.Changed()
-		if view = f.facts.View(); view.Configuration != nil {
+		changed := f.fleetState.Changed()
+		if view = f.fleetState.View(); view.Configuration != nil {
 			return view
 		}
 		select {
@@ -170,12 +170,12 @@
 
 // readBody reads the body, which is kept for a second attempt. If it is too long
 // or incomplete, the answer is written.
-func (f *Front) readBody(x *exchange) bool {
+func (f *CallerServer) readBody(x *exchange) bool {
 	if x.request.Body == nil || x.request.Body == http.NoBody {
 		return true
 	}
-	limit := int64(defaultBody)
-	if configuration := f.facts.View().Configuration; configuration.Limits.BodyBytes > 0 {
+	limit := int64(defaultMaxBodyBytes)
+	if configuration := f.fleetState.View().Configuration; configuration.Limits.BodyBytes > 0 {
 		limit = configuration.Limits.BodyBytes
 	}
 	var err error
@@ -201,26 +201,26 @@
 	return false
 }
 
-func (f *Front) setTimes(x *exchange) {
+func (f *CallerServer) setDeadline(x *exchange) {
 	timeout := x.route.Timeout
 	if timeout <= 0 {
 		timeout = x.Deadline
 	}
 	if x.Deadline > 0 {
-		x.sinceFirst = f.sinceFirst(x)
+		x.sinceFirstTry = f.sinceFirstTry(x)
 		timeout = min(timeout, x.Deadline)
 	}
 	x.deadline = x.arrived.Add(timeout)
 }
 
 // refuse answers that the request has not run and when to come back.
-func (f *Front) refuse(x *exchange, reason string, wait time.Duration) {
+func (f *CallerServer) refuse(x *exchange, reason string, wait time.Duration) {
 	f.writeRefusal(x, wait)
 	f.finish(x, "refused").Str("reason", reason).Dur("retry_after_ms", wait).Msg("request refused")
 }
 
 // refuseBusy is refuse for a request that could not start in time, and logs why.
-func (f *Front) refuseBusy(x *exchange, busy *route.BusyError) {
+func (f *CallerServer) refuseBusy(x *exchange, busy *route.BusyError) {
 	f.writeRefusal(x, busy.RetryAfter)
 	reason := "busy"
 	if busy.Slots == 0 && busy.BackingOff > 0 {
@@ -236,22 +236,22 @@
 }
 
 // refuseQuarantined is refuse for a request that ends the servers that run it.
-func (f *Front) refuseQuarantined(x *exchange, held *quarantinedError) {
+func (f *CallerServer) refuseQuarantined(x *exchange, held *quarantinedError) {
 	wait := held.until.Sub(f.clock.Now())
 	f.writeRefusal(x, wait)
-	f.finish(x, "refused").Str("reason", "quarantined").Str("content", x.contentID().String()).Int("ends", held.ends).
+	f.finish(x, "refused").Str("reason", "quarantined").Str("content", x.contentID().String()).Int("ends", held.exits).
 		Dur("retry_after_ms", wait).Msg("request refused")
 }
 
-func (f *Front) writeRefusal(x *exchange, wait time.Duration) {
-	f.noteSentAway(x)
+func (f *CallerServer) writeRefusal(x *exchange, wait time.Duration) {
+	f.noteRejected(x)
 	x.writer.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 	x.writer.Header().Set("Content-Length", "0")
 	x.writer.WriteHeader(http.StatusServiceUnavailable)
 }
 
 // reject answers that the request is not a proper one.
-func (f *Front) reject(x *exchange, status int, reason string) {
+func (f *CallerServer) reject(x *exchange, status int, reason string) {
 	x.writer.Header().Set("Content-Length", "0")
 	x.writer.WriteHeader(status)
 	f.finish(x, "rejected").Int("status", status).Str("reason", reason).
@@ -259,32 +259,32 @@
 }
 
 // fail answers that the request may have run.
-func (f *Front) fail(x *exchange, status int, cause error) {
-	f.noteSentAway(x)
+func (f *CallerServer) fail(x *exchange, status int, cause error) {
+	f.noteRejected(x)
 	x.writer.Header().Set("Content-Length", "0")
 	x.writer.WriteHeader(status)
 	f.finish(x, "unknown").Int("status", status).Err(cause).Msg("request failed")
 }
 
 // finish counts the outcome and begins its log line.
-func (f *Front) finish(x *exchange, outcome string) *zerolog.Event {
+func (f *CallerServer) finish(x *exchange, outcome string) *zerolog.Event {
 	name := "none"
 	if x.route != nil {
 		name = x.route.Name
 	}
 	taken := f.clock.Since(x.arrived)
 	f.metrics.requests.WithLabelValues(name, outcome).Inc()
-	f.metrics.seconds.WithLabelValues(name).Observe(taken.Seconds())
+	f.metrics.requestSeconds.WithLabelValues(name).Observe(taken.Seconds())
 	event := f.log.Info().Str("request", x.ID).Str("route", name).Str("outcome", outcome)
 	if x.route != nil {
-		event = event.Str("service", string(x.service)).Dur("objective_ms", x.route.Objective).Dur("since_first_ms", x.sinceFirst).
+		event = event.Str("service", string(x.service)).Dur("objective_ms", x.route.Objective).Dur("since_first_ms", x.sinceFirstTry).
 			Dur("waited_ms", x.waited).Int("prompt_tokens", x.PromptTokens)
 	}
 	if x.organisation != nil {
 		event = event.Str("organisation", string(x.organisation.Name))
 	}
-	if x.begun {
-		event = event.Dur("begun_ms", x.firstAfter).Dur("pause_ms", x.longestPause)
+	if x.started {
+		event = event.Dur("begun_ms", x.ttfb).Dur("pause_ms", x.longestPause)
 		if x.route.MaxEventGap > 0 && x.longestPause > x.route.MaxEventGap {
 			event = event.Bool("paused", true)
 		}
--- a/internal/direct/facts.go
+++ b/internal/direct/fleetstate.go
@@ -20,102 +20,104 @@
 )
 
 const (
-	// lapseHold is how long a server stays believed whose entry went while the
+	// expiryDeferral is how long a server stays believed whose entry went while the
 	// store was away: entries of servers that live are back within two seconds.
-	lapseHold = 2200 * time.Millisecond
-	// lapseLeast is how long the store must have been away for entries to have lapsed
+	expiryDeferral = 2200 * time.Millisecond
+	// minExpiryOutage is how long the store must have been away for entries to have lapsed
 	// meanwhile: they last for several heartbeats, which come every second or so.
-	lapseLeast = 1400 * time.Millisecond
-	// lapseWindow is how long after the store's return entries may still be found
+	minExpiryOutage = 1400 * time.Millisecond
+	// expiryDeferralWindow is how long after the store's return entries may still be found
 	// to have lapsed meanwhile.
-	lapseWindow = 1500 * time.Millisecond
-	// restartAge is how long before its start a process takes weights to have been named at
+	expiryDeferralWindow = 1500 * time.Millisecond
+	// minAssumedAge is how long before its start a process takes weights to have been named at
 	// least that were there already.
-	restartAge = 5 * time.Second
+	minAssumedAge = 5 * time.Second
 )
 
-// restartAgeFor is how long before its start a process takes weights to have been named that were
+// assumedAgeAtStart is how long before its start a process takes weights to have been named that were
 // there already, as it can't know if all were killed. What remains of the bound passes before the
 // process is settled: with a fixed age and a bound of 30 s it would begin requests on older
 // weights for 24 s.
-func restartAgeFor(bound, settle time.Duration) time.Duration { return max(restartAge, bound-settle) }
+func assumedAgeAtStart(bound, settle time.Duration) time.Duration {
+	return max(minAssumedAge, bound-settle)
+}
 
-// Facts keeps what the platform's store and other boxes tell.
-type Facts struct {
+// FleetState keeps what the platform's store and other boxes tell.
+type FleetState struct {
 	clock   clockwork.Clock
 	log     zerolog.Logger
 	metrics *Metrics
 	store   *state.Store
 	view    atomic.Pointer[fleet.View]
-	duties  *kernel.TaskGroup
-	// restartAge is how long before its start the process takes weights to have been named that
+	tasks   *kernel.TaskGroup
+	// assumedAge is how long before its start the process takes weights to have been named that
 	// were there already.
-	restartAge time.Duration
+	assumedAge time.Duration
 
 	mu sync.Mutex
 	// changed is closed when the view changes.
 	changed chan struct{}
-	servers map[fleet.ServerID]listing
+	servers map[fleet.ServerID]serverEntry
 	// departures are what servers have said in their answers of their end.
 	departures departures
 	// rateLimits are the rate limits that servers have advertised in their answers.
 	rateLimits rateLimits
-	wanted     map[fleet.ModelName]fleet.PublishedVersions
-	// ageNews goes up with each version that is heard of and each age that is corrected.
-	ageNews int
+	published  map[fleet.ModelName]fleet.PublishedVersions
+	// ageChanges goes up with each version that is heard of and each age that is corrected.
+	ageChanges int
 	// newest is the newest revision of any fact, complete the one up to which all were read,
 	// those included that are held back.
 	newest, complete fleet.Revision
-	// held are the deletions that are held back, by key.
-	held map[string]fleet.Revision
-	// unread is what was wrong with the entries that could not be read, by key.
-	unread map[string]string
-	// unnamed are the services of entries that the configuration does not name.
-	unnamed map[member.Service]bool
-	// answered is when the store last answered; zero if it never did.
-	answered time.Time
-	// lostSince is when the first of the calls began that the store has not answered since,
+	// deferred are the deletions that are held back, by key.
+	deferred map[string]fleet.Revision
+	// unreadableEntries is what was wrong with the entries that could not be read, by key.
+	unreadableEntries map[string]string
+	// unconfigured are the services of entries that the configuration does not name.
+	unconfigured map[member.Service]bool
+	// storeResponded is when the store last answered; zero if it never did.
+	storeResponded time.Time
+	// downSince is when the first of the calls began that the store has not answered since,
 	// failures how many they are; zero while it answers.
-	lostSince time.Time
-	failures  int
-	// returned is when the store answered after it had been away for so long that entries
+	downSince   time.Time
+	failedCalls int
+	// recoveredAt is when the store answered after it had been away for so long that entries
 	// may have lapsed.
-	returned time.Time
+	recoveredAt time.Time
 }
 
-// NewFacts returns facts that know nothing yet.
-func NewFacts(clock clockwork.Clock, log zerolog.Logger, metrics *Metrics) *Facts {
-	f := &Facts{
-		clock: clock, log: log, metrics: metrics, restartAge: restartAge,
-		store: state.NewStore(rand.Uint64()), duties: kernel.NewTaskGroup(),
+// NewFleetState returns facts that know nothing yet.
+func NewFleetState(clock clockwork.Clock, log zerolog.Logger, metrics *Metrics) *FleetState {
+	f := &FleetState{
+		clock: clock, log: log, metrics: metrics, assumedAge: minAssumedAge,
+		store: state.NewStore(rand.Uint64()), tasks: kernel.NewTaskGroup(),
 		changed: make(chan struct{}),
-		servers: make(map[fleet.ServerID]listing), departures: newDepartures(), rateLimits: newRateLimits(),
-		wanted: make(map[fleet.ModelName]fleet.PublishedVersions),
-		held:   make(map[string]fleet.Revision),
-		unread: make(map[string]string), unnamed: make(map[member.Service]bool),
+		servers: make(map[fleet.ServerID]serverEntry), departures: newDepartures(), rateLimits: newRateLimits(),
+		published:         make(map[fleet.ModelName]fleet.PublishedVersions),
+		deferred:          make(map[string]fleet.Revision),
+		unreadableEntries: make(map[string]string), unconfigured: make(map[member.Service]bool),
 	}
 	f.view.Store(fleet.EmptyView())
 	return f
 }
 
 // String returns the service's name.
-func (f *Facts) String() string { return "facts" }
+func (f *FleetState) String() string { return "facts" }
 
 // Stop ends reading.
-func (f *Facts) Stop(ctx context.Context) error { return f.duties.Stop(ctx) }
+func (f *FleetState) Stop(ctx context.Context) error { return f.tasks.Stop(ctx) }
 
 // View returns what is believed now.
-func (f *Facts) View() *fleet.View { return f.view.Load() }
+func (f *FleetState) View() *fleet.View { return f.view.Load() }
 
 // Changed returns a channel that is closed at the next change of the view.
-func (f *Facts) Changed() <-chan struct{} {
+func (f *FleetState) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// Extent is how far the changes of the platform's store are known.
-type Extent struct {
+// Watermarks is how far the changes of the platform's store are known.
+type Watermarks struct {
 	// Newest is the newest revision of which anything is known.
 	Newest fleet.Revision
 	// Complete is the revision up to which everything is known. Deletions that are held
@@ -124,73 +126,73 @@
 }
 
 // isBehind reports whether another process knows something that this one does not.
-func (e Extent) isBehind(other Extent) bool {
+func (e Watermarks) isBehind(other Watermarks) bool {
 	return other.Newest > e.Newest || other.Complete > e.Complete
 }
 
-// Extent returns how far the changes of the platform's store are known.
-func (f *Facts) Extent() Extent {
+// Watermarks returns how far the changes of the platform's store are known.
+func (f *FleetState) Watermarks() Watermarks {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	complete := min(f.newest, f.complete)
-	for _, held := range f.held {
+	for _, held := range f.deferred {
 		complete = min(complete, held-1)
 	}
-	return Extent{Newest: f.newest, Complete: complete}
+	return Watermarks{Newest: f.newest, Complete: complete}
 }
 
-// CompleteUpTo notes that everything up to a revision was read.
-func (f *Facts) CompleteUpTo(revision fleet.Revision) {
+// MarkComplete notes that everything up to a revision was read.
+func (f *FleetState) MarkComplete(revision fleet.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.complete = max(f.complete, revision)
 }
 
-// StoreAge returns how long ago the store answered; negative if it never did.
-func (f *Facts) StoreAge() time.Duration {
+// StoreResponseAge returns how long ago the store answered; negative if it never did.
+func (f *FleetState) StoreResponseAge() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.answered.IsZero() {
+	if f.storeResponded.IsZero() {
 		return -1
 	}
-	return f.clock.Since(f.answered)
+	return f.clock.Since(f.storeResponded)
 }
 
-// Answered returns when the store last answered; zero if it never did.
-func (f *Facts) Answered() time.Time {
+// StoreRespondedAt returns when the store last answered; zero if it never did.
+func (f *FleetState) StoreRespondedAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.answered
+	return f.storeResponded
 }
 
-// isStoreLost reports whether the store has not answered the last call.
-func (f *Facts) isStoreLost() bool {
+// isStoreDown reports whether the store has not answered the last call.
+func (f *FleetState) isStoreDown() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.lostSince.IsZero()
+	return !f.downSince.IsZero()
 }
 
-// storeLost notes a call that was not answered, or not in time.
-func (f *Facts) storeLost(call string, began time.Time, err error) {
+// noteStoreFailure notes a call that was not answered, or not in time.
+func (f *FleetState) noteStoreFailure(call string, began time.Time, err error) {
 	f.mu.Lock()
-	first := f.lostSince.IsZero()
+	first := f.downSince.IsZero()
 	if first {
-		f.lostSince = began
+		f.downSince = began
 	}
-	f.failures++
+	f.failedCalls++
 	f.mu.Unlock()
 	if first {
-		f.log.Warn().Str("dependency", "store").Str("call", call).Dur("age_ms", f.StoreAge()).Err(err).Msg("dependency lost")
+		f.log.Warn().Str("dependency", "store").Str("call", call).Dur("age_ms", f.StoreResponseAge()).Err(err).Msg("dependency lost")
 	}
 }
 
-func (f *Facts) storeAnswered() {
+func (f *FleetState) noteStoreResponse() {
 	f.mu.Lock()
 	now := f.clock.Now()
-	regained, away, failures := !f.lostSince.IsZero(), now.Sub(f.lostSince), f.failures
-	f.answered, f.lostSince, f.failures = now, time.Time{}, 0
-	if regained && away >= lapseLeast {
-		f.returned = now
+	regained, away, failures := !f.downSince.IsZero(), now.Sub(f.downSince), f.failedCalls
+	f.storeResponded, f.downSince, f.failedCalls = now, time.Time{}, 0
+	if regained && away >= minExpiryOutage {
+		f.recoveredAt = now
 	}
 	f.mu.Unlock()
 	if regained {
@@ -198,12 +200,12 @@
 	}
 }
 
-// holdLapsed takes out the entries of servers that went while the store was away,
+// deferExpired takes out the entries of servers that went while the store was away,
 // and applies them later: an entry that is back by then is newer.
-func (f *Facts) holdLapsed(facts []fleet.Fact) []fleet.Fact {
+func (f *FleetState) deferExpired(facts []fleet.Fact) []fleet.Fact {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.returned.IsZero() || f.clock.Since(f.returned) >= lapseWindow {
+	if f.recoveredAt.IsZero() || f.clock.Since(f.recoveredAt) >= expiryDeferralWindow {
 		return facts
 	}
 	var now, later []fleet.Fact
@@ -211,36 +213,36 @@
 		id := fleet.ServerID(strings.TrimPrefix(fact.Key, fleet.ServerKey("")))
 		if server, known := f.servers[id]; fact.Deleted && known && !server.Leaving && server.revision < fact.Revision {
 			later = append(later, fact)
-			f.held[fact.Key] = fact.Revision
+			f.deferred[fact.Key] = fact.Revision
 			f.log.Info().Str("server", string(id)).Uint64("revision", uint64(fact.Revision)).
-				Dur("hold_ms", lapseHold).Msg("server's entry went while the store was away, held")
+				Dur("hold_ms", expiryDeferral).Msg("server's entry went while the store was away, held")
 			continue
 		}
 		now = append(now, fact)
 	}
 	if len(later) > 0 {
-		f.clock.AfterFunc(lapseHold, func() {
+		f.clock.AfterFunc(expiryDeferral, func() {
 			f.Apply(later, "store")
-			f.release(later)
+			f.clearDeferred(later)
 		})
 	}
 	return now
 }
 
-// release ends holding back deletions.
-func (f *Facts) release(facts []fleet.Fact) {
+// clearDeferred ends holding back deletions.
+func (f *FleetState) clearDeferred(facts []fleet.Fact) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range facts {
-		if f.held[facts[i].Key] == facts[i].Revision {
-			delete(f.held, facts[i].Key)
+		if f.deferred[facts[i].Key] == facts[i].Revision {
+			delete(f.deferred, facts[i].Key)
 		}
 	}
-	f.metrics.observeBelief(f.View(), f.newest, len(f.held))
+	f.metrics.observeView(f.View(), f.newest, len(f.deferred))
 }
 
-// missing returns the facts that are held but no longer in the store.
-func (f *Facts) missing(got provider.FactBatch) []fleet.Fact {
+// impliedDeletions returns the facts that are held but no longer in the store.
+func (f *FleetState) impliedDeletions(got provider.FactBatch) []fleet.Fact {
 	present := make(map[string]bool, len(got.Facts))
 	for i := range got.Facts {
 		present[got.Facts[i].Key] = true
@@ -256,10 +258,10 @@
 
 // Apply merges facts that were read from the store as they were written. Older ones than those
 // held change nothing.
-func (f *Facts) Apply(facts []fleet.Fact, from string) { f.merge(f.itemsOf(facts), from, true) }
+func (f *FleetState) Apply(facts []fleet.Fact, from string) { f.merge(f.itemsOf(facts), from, true) }
 
 // itemsOf returns facts in their replicated form.
-func (f *Facts) itemsOf(facts []fleet.Fact) []state.Item {
+func (f *FleetState) itemsOf(facts []fleet.Fact) []state.Item {
 	items := make([]state.Item, 0, len(facts))
 	for i := range facts {
 		item, err := facts[i].Item()
@@ -272,19 +274,21 @@
 	return items
 }
 
-// ApplyFirst is Apply for the first reading of the store: what is there was written at any time
+// ApplyInitial is Apply for the first reading of the store: what is there was written at any time
 // before, also if another process has told a configuration meanwhile.
-func (f *Facts) ApplyFirst(facts []fleet.Fact, from string) { f.merge(f.itemsOf(facts), from, false) }
+func (f *FleetState) ApplyInitial(facts []fleet.Fact, from string) {
+	f.merge(f.itemsOf(facts), from, false)
+}
 
-// factsLogged is how many servers' entries have a log line each when they come together. A process
+// maxItemsLogged is how many servers' entries have a log line each when they come together. A process
 // that starts hears of thousands at once, and so does each of thousands.
-const factsLogged = 16
+const maxItemsLogged = 16
 
 // ApplyItems merges facts that another process tells, in their replicated form.
-func (f *Facts) ApplyItems(items []state.Item, from string) { f.merge(items, from, false) }
+func (f *FleetState) ApplyItems(items []state.Item, from string) { f.merge(items, from, false) }
 
 // merge merges facts. Witnessed is set if they were read from the store as they were written.
-func (f *Facts) merge(items []state.Item, from string, witnessed bool) {
+func (f *FleetState) merge(items []state.Item, from string, witnessed bool) {
 	// What is believed follows the order in which the store takes facts: of two entries that
 	// came at the same moment the older one was believed for good.
 	f.mu.Lock()
@@ -294,7 +298,7 @@
 		return
 	}
 	log := f.log
-	if len(fresh) > factsLogged {
+	if len(fresh) > maxItemsLogged {
 		f.log.Info().Int("facts", len(fresh)).Str("from", from).Msg("many facts taken")
 		log = f.log.Level(zerolog.WarnLevel)
 	}
@@ -303,7 +307,7 @@
 	witnessed = witnessed && view.Configuration != nil
 	servers, wanted := false, false
 	for _, item := range fresh {
-		delete(f.held, item.Key)
+		delete(f.deferred, item.Key)
 		f.newest = max(f.newest, fleet.Revision(item.Version.Major))
 		fact, err := fleet.ParseFact(item)
 		if err != nil {
@@ -312,35 +316,35 @@
 		}
 		switch {
 		case fact.Configuration != nil:
-			view = f.takeConfiguration(view, &fact, from)
+			view = f.applyConfiguration(view, &fact, from)
 			// Whether a service is named there decides whether its servers are believed.
 			servers = true
 		case strings.HasPrefix(fact.Key, fleet.ServerKey("")):
-			f.takeServer(&fact, from, &log)
+			f.applyServer(&fact, from, &log)
 			servers = true
 		case strings.HasPrefix(fact.Key, fleet.DesiredKey("")):
-			f.takeWanted(&fact, from, witnessed)
+			f.applyDesired(&fact, from, witnessed)
 			wanted = true
 		}
 	}
 	if servers {
-		view = view.WithServers(f.believedServers(view.Configuration))
+		view = view.WithServers(f.currentServers(view.Configuration))
 	}
 	if wanted {
-		view = view.WithPublishedVersions(maps.Clone(f.wanted))
+		view = view.WithPublishedVersions(maps.Clone(f.published))
 	}
-	f.publish(view)
+	f.setView(view)
 }
 
-// publish makes a view the one that is believed. The lock must be held.
-func (f *Facts) publish(view *fleet.View) {
+// setView makes a view the one that is believed. The lock must be held.
+func (f *FleetState) setView(view *fleet.View) {
 	f.view.Store(view)
-	f.metrics.observeBelief(view, f.newest, len(f.held))
+	f.metrics.observeView(view, f.newest, len(f.deferred))
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-func (f *Facts) takeConfiguration(view *fleet.View, fact *fleet.Fact, from string) *fleet.View {
+func (f *FleetState) applyConfiguration(view *fleet.View, fact *fleet.Fact, from string) *fleet.View {
 	held := view.Configuration
 	if held != nil && fact.Configuration.Version < held.Version {
 		f.log.Error().Uint64("version", fact.Configuration.Version).Uint64("held", held.Version).Msg("older configuration at a newer revision not taken")
@@ -355,48 +359,48 @@
 	return view.WithConfiguration(fact.Configuration.WithFallback(held), fact.Revision)
 }
 
-// noteFindings logs what is wrong with entries, once for each as long as it stays: an entry
+// logFindings logs what is wrong with entries, once for each as long as it stays: an entry
 // is read again whenever its writer repeats it.
-func (f *Facts) noteFindings(findings []*provider.EntryError, whole bool) {
+func (f *FleetState) logFindings(findings []*provider.EntryError, whole bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known := f.unread
+	known := f.unreadableEntries
 	if whole {
-		f.unread = make(map[string]string, len(findings))
+		f.unreadableEntries = make(map[string]string, len(findings))
 	}
 	for _, finding := range findings {
 		text := finding.Err.Error()
 		if known[finding.Key] != text {
 			f.log.Error().Err(finding).Msg("entry of the store not taken whole")
 		}
-		if len(f.unread) < unreadLimit {
-			f.unread[finding.Key] = text
+		if len(f.unreadableEntries) < maxUnreadableEntries {
+			f.unreadableEntries[finding.Key] = text
 		}
 	}
 }
 
-// unreadLimit bounds the entries that are remembered as not readable: somebody who fills the
+// maxUnreadableEntries bounds the entries that are remembered as not readable: somebody who fills the
 // store with them must not fill the memory of each box.
-const unreadLimit = 1024
+const maxUnreadableEntries = 1024
 
-// takeWanted takes the name of a version. When it was named is known to a witness alone: a process
+// applyDesired takes the name of a version. When it was named is known to a witness alone: a process
 // that takes the moment at which another one told it for that would replace the guesses of all that have
 // just started, and older weights would begin requests for too long.
-func (f *Facts) takeWanted(fact *fleet.Fact, from string, witnessed bool) {
+func (f *FleetState) applyDesired(fact *fleet.Fact, from string, witnessed bool) {
 	if fact.Desired == nil {
 		return
 	}
 	model := fact.Desired.Model
-	named := f.wanted[model]
+	named := f.published[model]
 	if len(named) > 0 && fact.Desired.Version <= named.Newest().Version {
 		return
 	}
 	since := f.clock.Now()
 	if !witnessed {
-		since = since.Add(-f.restartAge)
+		since = since.Add(-f.assumedAge)
 	}
-	f.ageNews++
-	f.wanted[model] = named.With(fleet.PublishedVersion{
+	f.ageChanges++
+	f.published[model] = named.With(fleet.PublishedVersion{
 		Version: fact.Desired.Version, Revision: fact.Revision, PublishedAt: since, Observed: witnessed,
 	})
 	f.log.Info().Str("model", string(model)).Uint64("version", uint64(fact.Desired.Version)).Dur("age_ms", f.clock.Since(since)).
@@ -411,14 +415,14 @@
 	}
 }
 
-func (p *Process) newFacts() error {
+func (p *Process) newFleetState() error {
 	direct := p.settings.Direct
-	p.facts = NewFacts(p.options.Clock, p.options.Log, p.metrics)
-	p.facts.restartAge = restartAgeFor(time.Duration(direct.VersionBound), time.Duration(direct.SettleTime))
-	p.metrics.observeStoreAge(p.facts.StoreAge)
-	return p.kernel.Register(p.facts)
+	p.fleetState = NewFleetState(p.options.Clock, p.options.Log, p.metrics)
+	p.fleetState.assumedAge = assumedAgeAtStart(time.Duration(direct.VersionBound), time.Duration(direct.SettleTime))
+	p.metrics.observeStoreAge(p.fleetState.StoreResponseAge)
+	return p.services.Register(p.fleetState)
 }
 
-// startFacts makes the facts of an entry box, which are read once the other
+// startFleetState makes the facts of an entry box, which are read once the other
 // entry boxes can be asked too.
-func (p *Process) startFacts() error { return p.newFacts() }
+func (p *Process) startFleetState() error { return p.newFleetState() }
--- a/internal/direct/facts_test.go
+++ b/internal/direct/fleetstate_test.go
@@ -38,11 +38,11 @@
 	}
 }
 
-func gives(at fleet.Revision, facts ...fleet.Fact) func() (provider.FactBatch, error) {
+func returnsFacts(at fleet.Revision, facts ...fleet.Fact) func() (provider.FactBatch, error) {
 	return func() (provider.FactBatch, error) { return provider.FactBatch{Facts: facts, Revision: at}, nil }
 }
 
-func fails(err error) func() (provider.FactBatch, error) {
+func returnsError(err error) func() (provider.FactBatch, error) {
 	return func() (provider.FactBatch, error) { return provider.FactBatch{}, err }
 }
 
@@ -56,34 +56,34 @@
 
 // outage is a store that answers, refuses for longer than entries last, and answers again.
 func outage(before func() (provider.FactBatch, error), after ...func() (provider.FactBatch, error)) []func() (provider.FactBatch, error) {
-	calls := int(2*lapseLeast/probeShortest) + 1
-	away := slices.Repeat([]func() (provider.FactBatch, error){fails(provider.ErrUnavailable)}, calls)
+	calls := int(2*minExpiryOutage/minProbeInterval) + 1
+	away := slices.Repeat([]func() (provider.FactBatch, error){returnsError(provider.ErrUnavailable)}, calls)
 	return slices.Concat([]func() (provider.FactBatch, error){before}, away, after)
 }
 
-// gone is the deletion of server a at revision 7.
-func gone() fleet.Fact { return fleet.Fact{Key: fleet.ServerKey("a"), Revision: 7, Deleted: true} }
+// deleted is the deletion of server a at revision 7.
+func deleted() fleet.Fact { return fleet.Fact{Key: fleet.ServerKey("a"), Revision: 7, Deleted: true} }
 
-// play reads the store until all answers are given. Waits are passed over; it runs in a
+// replayStore reads the store until all answers are given. Waits are passed over; it runs in a
 // synctest bubble, so that no answer is overdue because the machine is busy.
-func play(t *testing.T, clock *clockwork.FakeClock, facts *Facts, answers ...func() (provider.FactBatch, error)) {
+func replayStore(t *testing.T, clock *clockwork.FakeClock, facts *FleetState, answers ...func() (provider.FactBatch, error)) {
 	t.Helper()
 	store := &scriptedStore{answers: answers}
 	reader := &storeReader{
-		facts: facts, source: store.source(),
-		times: testTimes, wanted: func() bool { return true }, probePause: func() time.Duration { return probeShortest },
+		fleetState: facts, source: store.source(),
+		intervals: testIntervals, shouldRead: func() bool { return true }, probeInterval: func() time.Duration { return minProbeInterval },
 	}
 	for len(store.answers) > 0 {
 		done := make(chan struct{})
 		go func() {
-			reader.once(context.Background())
+			reader.readOnce(context.Background())
 			close(done)
 		}()
-		passWaits(clock, done)
+		advanceUntilDone(clock, done)
 	}
 }
 
-func passWaits(clock *clockwork.FakeClock, done <-chan struct{}) {
+func advanceUntilDone(clock *clockwork.FakeClock, done <-chan struct{}) {
 	for {
 		synctest.Wait()
 		select {
@@ -95,80 +95,80 @@
 	}
 }
 
-func newTestFacts() (*Facts, *clockwork.FakeClock) {
+func newTestFleetState() (*FleetState, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
-	return NewFacts(clock, zerolog.Nop(), NewMetrics()), clock
+	return NewFleetState(clock, zerolog.Nop(), NewMetrics()), clock
 }
 
-func TestAServerWhoseEntryLapsedWithTheStoreAwayIsBelievedForAWhile(t *testing.T) {
+func TestExpiredEntryIsDeferredAfterStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts, clock := newTestFacts()
-		play(t, clock, facts, outage(gives(5, listed("a", 3)), gives(7, gone()))...)
+		facts, clock := newTestFleetState()
+		replayStore(t, clock, facts, outage(returnsFacts(5, listed("a", 3)), returnsFacts(7, deleted()))...)
 		require.Len(t, facts.View().Servers("llm"), 1)
-		require.Less(t, facts.Extent().Complete, fleet.Revision(7), "what is held back must not count as known")
-		clock.Advance(lapseHold)
+		require.Less(t, facts.Watermarks().Complete, fleet.Revision(7), "what is held back must not count as known")
+		clock.Advance(expiryDeferral)
 		require.Eventually(t, func() bool { return len(facts.View().Servers("llm")) == 0 }, 10*time.Second, time.Millisecond)
-		require.Eventually(t, func() bool { return facts.Extent() == Extent{Newest: 7, Complete: 7} }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return facts.Watermarks() == Watermarks{Newest: 7, Complete: 7} }, 10*time.Second, time.Millisecond)
 	})
 }
 
 // A call that fails, or a connection that falls silent, is no outage in which entries lapse:
 // a server that leaves just then must get nothing new after two seconds.
-func TestAnEntryThatGoesAfterASingleFailedCallIsGone(t *testing.T) {
+func TestDeletionAfterSingleFailedCallIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts, clock := newTestFacts()
-		play(t, clock, facts, gives(5, listed("a", 3)), fails(provider.ErrUnavailable), gives(7, gone()))
+		facts, clock := newTestFleetState()
+		replayStore(t, clock, facts, returnsFacts(5, listed("a", 3)), returnsError(provider.ErrUnavailable), returnsFacts(7, deleted()))
 		require.Empty(t, facts.View().Servers("llm"))
-		require.Equal(t, Extent{Newest: 7, Complete: 7}, facts.Extent())
+		require.Equal(t, Watermarks{Newest: 7, Complete: 7}, facts.Watermarks())
 	})
 }
 
-func TestALapsedEntryThatIsBackStays(t *testing.T) {
+func TestReturnedEntryOutlivesDeferredDeletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts, clock := newTestFacts()
-		play(t, clock, facts, outage(gives(5, listed("a", 3)), gives(7, gone()), gives(8, listed("a", 8)))...)
-		clock.Advance(2 * lapseHold)
+		facts, clock := newTestFleetState()
+		replayStore(t, clock, facts, outage(returnsFacts(5, listed("a", 3)), returnsFacts(7, deleted()), returnsFacts(8, listed("a", 8)))...)
+		clock.Advance(2 * expiryDeferral)
 		require.Len(t, facts.View().Servers("llm"), 1)
 	})
 }
 
 // Only this box had lost the store; another one knows that the server left.
-func TestADeletionThatAnotherBoxKnowsIsNotHeldBack(t *testing.T) {
+func TestDeletionFromAnotherBoxIsNotDeferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts, clock := newTestFacts()
-		play(t, clock, facts, outage(gives(5, listed("a", 3)), gives(7, gone()))...)
-		facts.Apply([]fleet.Fact{gone()}, "entry-2")
+		facts, clock := newTestFleetState()
+		replayStore(t, clock, facts, outage(returnsFacts(5, listed("a", 3)), returnsFacts(7, deleted()))...)
+		facts.Apply([]fleet.Fact{deleted()}, "entry-2")
 		require.Empty(t, facts.View().Servers("llm"))
-		require.Equal(t, Extent{Newest: 7, Complete: 7}, facts.Extent())
+		require.Equal(t, Watermarks{Newest: 7, Complete: 7}, facts.Watermarks())
 	})
 }
 
-func TestAnEntryThatIsMissingFromASnapshotIsGone(t *testing.T) {
+func TestEntryMissingFromSnapshotIsDeleted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts, clock := newTestFacts()
-		play(t, clock, facts,
-			gives(5, listed("a", 3), listed("b", 4)), fails(provider.ErrCompacted), gives(9, listed("b", 4)))
+		facts, clock := newTestFleetState()
+		replayStore(t, clock, facts,
+			returnsFacts(5, listed("a", 3), listed("b", 4)), returnsError(provider.ErrCompacted), returnsFacts(9, listed("b", 4)))
 		servers := facts.View().Servers("llm")
 		require.Len(t, servers, 1)
 		require.Equal(t, fleet.ServerID("b"), servers[0].ID)
 	})
 }
 
-func TestAConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts, clock := newTestFacts()
+		facts, clock := newTestFleetState()
 		configuration := func(version uint64, revision fleet.Revision) fleet.Fact {
 			return fleet.Fact{Key: fleet.ConfigurationKey(), Revision: revision, Configuration: &fleet.Configuration{Version: version}}
 		}
-		play(t, clock, facts, gives(5, configuration(4, 5)), gives(6, configuration(3, 6)))
+		replayStore(t, clock, facts, returnsFacts(5, configuration(4, 5)), returnsFacts(6, configuration(3, 6)))
 		require.EqualValues(t, 4, facts.View().Configuration.Version)
 		facts.Apply([]fleet.Fact{configuration(2, 2)}, "entry-2")
 		require.EqualValues(t, 4, facts.View().Configuration.Version)
 	})
 }
 
-func TestEachNamedVersionBarsTheOlderOnesFromItsOwnName(t *testing.T) {
-	facts, clock := newTestFacts()
+func TestCutoffCountsFromEachPublishedVersion(t *testing.T) {
+	facts, clock := newTestFleetState()
 	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}}, "store")
 	wanted := func(version fleet.WeightsVersion, revision fleet.Revision) fleet.Fact {
 		return fleet.Fact{Key: fleet.DesiredKey("m"), Revision: revision, Desired: &fleet.DesiredVersion{Model: "m", Version: version}}
@@ -190,38 +190,38 @@
 
 // A version that was there when the process started may have been named long before;
 // one that comes a moment later was named just now.
-func TestOnlyVersionsThatWereThereAtTheStartAreTakenForOlder(t *testing.T) {
+func TestOnlyVersionsPresentAtStartGetAssumedAge(t *testing.T) {
 	configuration := fleet.Fact{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}
 	wanted := fleet.Fact{Key: fleet.DesiredKey("m"), Revision: 2, Desired: &fleet.DesiredVersion{Model: "m", Version: 2}}
-	together, clock := newTestFacts()
+	together, clock := newTestFleetState()
 	together.Apply([]fleet.Fact{configuration, wanted}, "store")
-	require.Equal(t, clock.Now().Add(-restartAge), together.View().PublishedVersions("m").Newest().PublishedAt)
-	later, clock := newTestFacts()
+	require.Equal(t, clock.Now().Add(-minAssumedAge), together.View().PublishedVersions("m").Newest().PublishedAt)
+	later, clock := newTestFleetState()
 	later.Apply([]fleet.Fact{configuration}, "store")
 	later.Apply([]fleet.Fact{wanted}, "store")
 	require.Equal(t, clock.Now(), later.View().PublishedVersions("m").Newest().PublishedAt)
 }
 
-func wantedVersion(version fleet.WeightsVersion, revision fleet.Revision) fleet.Fact {
+func publishedFact(version fleet.WeightsVersion, revision fleet.Revision) fleet.Fact {
 	return fleet.Fact{Key: fleet.DesiredKey("m"), Revision: revision, Desired: &fleet.DesiredVersion{Model: "m", Version: version}}
 }
 
 // A box that has just started guessed that both versions were named long ago, and
 // barred the older of them while it was still in force.
-func TestAProcessThatStartedLaterLearnsWhenVersionsWereNamed(t *testing.T) {
+func TestLateProcessMergesVersionAges(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	configuration := fleet.Fact{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}
-	witness := NewFacts(clock, zerolog.Nop(), NewMetrics())
+	witness := NewFleetState(clock, zerolog.Nop(), NewMetrics())
 	witness.Apply([]fleet.Fact{configuration}, "store")
-	witness.Apply([]fleet.Fact{wantedVersion(2, 2)}, "store")
+	witness.Apply([]fleet.Fact{publishedFact(2, 2)}, "store")
 	clock.Advance(2 * time.Second)
-	witness.Apply([]fleet.Fact{wantedVersion(3, 3)}, "store")
+	witness.Apply([]fleet.Fact{publishedFact(3, 3)}, "store")
 	clock.Advance(time.Second)
 
-	late := NewFacts(clock, zerolog.Nop(), NewMetrics())
-	late.Apply([]fleet.Fact{configuration, wantedVersion(2, 2), wantedVersion(3, 3)}, "store")
+	late := NewFleetState(clock, zerolog.Nop(), NewMetrics())
+	late.Apply([]fleet.Fact{configuration, publishedFact(2, 2), publishedFact(3, 3)}, "store")
 	require.Empty(t, late.VersionAges(), "a guess is not told to others")
-	late.LearnVersions(witness.VersionAges(), "entry-2")
+	late.MergeVersionAges(witness.VersionAges(), "entry-2")
 	bound := 6 * time.Second
 	clock.Advance(3 * time.Second)
 	named := late.View().PublishedVersions("m")
@@ -233,51 +233,51 @@
 // An agent heard of a version from an entry box that had just started and only guessed its age; it took
 // that moment for the name's, and its word, as a witness's, replaced the guesses of all boxes: older weights began requests
 // for 2.2 s too long.
-func TestWhoHearsOfAVersionFromAnotherProcessIsNoWitness(t *testing.T) {
-	facts, clock := newTestFacts()
+func TestVersionFromAnotherProcessIsNotObserved(t *testing.T) {
+	facts, clock := newTestFleetState()
 	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}}, "store")
-	fact := wantedVersion(2, 2)
+	fact := publishedFact(2, 2)
 	item, err := fact.Item()
 	require.NoError(t, err)
 	facts.ApplyItems([]state.Item{item}, "entry-2")
 	require.Empty(t, facts.VersionAges())
-	require.Equal(t, clock.Now().Add(-restartAge), facts.View().PublishedVersions("m").Newest().PublishedAt)
-	facts.LearnVersions([]fleet.VersionAge{{Model: "m", Version: 2, Age: 300 * time.Millisecond}}, "entry-3")
+	require.Equal(t, clock.Now().Add(-minAssumedAge), facts.View().PublishedVersions("m").Newest().PublishedAt)
+	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: 300 * time.Millisecond}}, "entry-3")
 	require.Equal(t, clock.Now().Add(-300*time.Millisecond), facts.View().PublishedVersions("m").Newest().PublishedAt, "a witness is right")
 }
 
 // A box that had just started had a configuration from another one before it read the store itself. It took
 // a version that it found there for one that was named at that moment, and told that to all.
-func TestTheFirstReadingOfTheStoreIsNoWitnessOfWhatIsThere(t *testing.T) {
+func TestVersionInInitialReadIsNotObserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts, clock := newTestFacts()
+		facts, clock := newTestFleetState()
 		configuration := fleet.Fact{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}
 		item, err := configuration.Item()
 		require.NoError(t, err)
 		facts.ApplyItems([]state.Item{item}, "entry-2")
-		play(t, clock, facts, gives(5, configuration, wantedVersion(2, 5)), gives(6, wantedVersion(3, 6)))
+		replayStore(t, clock, facts, returnsFacts(5, configuration, publishedFact(2, 5)), returnsFacts(6, publishedFact(3, 6)))
 		named := facts.View().PublishedVersions("m")
-		require.Equal(t, facts.Answered(), named.PublishedAt(3), "a later one is read as it is written")
-		require.LessOrEqual(t, named.PublishedAt(2), facts.Answered().Add(-restartAge))
+		require.Equal(t, facts.StoreRespondedAt(), named.PublishedAt(3), "a later one is read as it is written")
+		require.LessOrEqual(t, named.PublishedAt(2), facts.StoreRespondedAt().Add(-minAssumedAge))
 		require.Len(t, facts.VersionAges(), 1)
 	})
 }
 
 // After eight versions of a model the ages of later ones were told no more, as the number of those that are kept
 // stayed the same.
-func TestEveryVersionChangesWhatIsToldOfAges(t *testing.T) {
-	facts, _ := newTestFacts()
+func TestEachVersionIncrementsAgeChangeCount(t *testing.T) {
+	facts, _ := newTestFleetState()
 	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}}, "store")
-	known := facts.versionsKnown()
+	known := facts.ageChangeCount()
 	for version := range fleet.WeightsVersion(20) {
-		facts.Apply([]fleet.Fact{wantedVersion(version+2, fleet.Revision(version)+2)}, "store")
-		require.NotEqual(t, known, facts.versionsKnown())
-		known = facts.versionsKnown()
+		facts.Apply([]fleet.Fact{publishedFact(version+2, fleet.Revision(version)+2)}, "store")
+		require.NotEqual(t, known, facts.ageChangeCount())
+		known = facts.ageChangeCount()
 	}
-	facts.LearnVersions([]fleet.VersionAge{{Model: "m", Version: 3, Age: time.Hour}}, "entry-2")
-	require.Equal(t, known, facts.versionsKnown(), "one that is older than all that are kept is no news")
-	facts.LearnVersions([]fleet.VersionAge{{Model: "m", Version: 21, Age: time.Second}}, "entry-2")
-	require.NotEqual(t, known, facts.versionsKnown(), "an age that is corrected is")
+	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 3, Age: time.Hour}}, "entry-2")
+	require.Equal(t, known, facts.ageChangeCount(), "one that is older than all that are kept is no news")
+	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 21, Age: time.Second}}, "entry-2")
+	require.NotEqual(t, known, facts.ageChangeCount(), "an age that is corrected is")
 }
 
 // Users saw a request begin on weights more than the bound after a newer version was confirmed, in some runs
@@ -286,19 +286,19 @@
 // that, 4 s late. What the others told it of the version between it passed over, as it was older
 // than what it knew. Evidence: the two boxes of this test require versions 2 and 0 from 7.0 to 11 s after
 // the first name; a server that had its copy late was used by the one and not by the other.
-func TestABoxThatStartedLaterBarsWeightsByTheVersionBetween(t *testing.T) {
+func TestLateBoxAppliesCutoffOfSkippedVersion(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	configuration := fleet.Fact{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}
-	there := NewFacts(clock, zerolog.Nop(), NewMetrics())
+	there := NewFleetState(clock, zerolog.Nop(), NewMetrics())
 	there.Apply([]fleet.Fact{configuration}, "store")
-	there.Apply([]fleet.Fact{wantedVersion(2, 2)}, "store")
+	there.Apply([]fleet.Fact{publishedFact(2, 2)}, "store")
 	clock.Advance(4 * time.Second)
-	there.Apply([]fleet.Fact{wantedVersion(3, 3)}, "store")
+	there.Apply([]fleet.Fact{publishedFact(3, 3)}, "store")
 	clock.Advance(500 * time.Millisecond)
 
-	later := NewFacts(clock, zerolog.Nop(), NewMetrics())
-	later.Apply([]fleet.Fact{configuration, wantedVersion(3, 3)}, "store")
-	later.LearnVersions(there.VersionAges(), "there")
+	later := NewFleetState(clock, zerolog.Nop(), NewMetrics())
+	later.Apply([]fleet.Fact{configuration, publishedFact(3, 3)}, "store")
+	later.MergeVersionAges(there.VersionAges(), "there")
 	const bound = 8 * time.Second
 	for range 80 {
 		clock.Advance(100 * time.Millisecond)
@@ -309,26 +309,26 @@
 }
 
 // A box that stood still heard of a version when it woke.
-func TestOfTwoWhoHeardOfAVersionTheFirstIsRight(t *testing.T) {
-	facts, clock := newTestFacts()
+func TestEarliestObserverSetsVersionAge(t *testing.T) {
+	facts, clock := newTestFleetState()
 	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}}, "store")
-	facts.Apply([]fleet.Fact{wantedVersion(2, 2)}, "store")
+	facts.Apply([]fleet.Fact{publishedFact(2, 2)}, "store")
 	heard := clock.Now()
-	facts.LearnVersions([]fleet.VersionAge{{Model: "m", Version: 2, Age: 5 * time.Second}}, "entry-2")
+	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: 5 * time.Second}}, "entry-2")
 	require.Equal(t, heard.Add(-5*time.Second), facts.View().PublishedVersions("m").Newest().PublishedAt)
 	told := facts.View().PublishedVersions("m")
-	facts.LearnVersions([]fleet.VersionAge{{Model: "m", Version: 2, Age: time.Second}, {Model: "n", Version: 2}}, "entry-3")
+	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: time.Second}, {Model: "n", Version: 2}}, "entry-3")
 	require.Equal(t, told, facts.View().PublishedVersions("m"), "one who heard later changes nothing")
 	require.Equal(t, clock.Now(), facts.View().PublishedVersions("n").Newest().PublishedAt)
-	facts.LearnVersions([]fleet.VersionAge{{Model: "m", Version: 9, Age: time.Second}, {Model: "m", Version: 2, Age: 7 * time.Second}}, "entry-4")
+	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 9, Age: time.Second}, {Model: "m", Version: 2, Age: 7 * time.Second}}, "entry-4")
 	require.Equal(t, heard.Add(-7*time.Second), facts.View().PublishedVersions("m").PublishedAt(2), "a newer version beside it keeps none from being corrected")
 	require.Equal(t, heard.Add(-time.Second), facts.View().PublishedVersions("m").Newest().PublishedAt)
 }
 
 // After a loss of power each address had two entries for seconds, and half of the
 // requests were sent to servers that were no more.
-func TestOfTwoServersWithOneAddressTheNewestIsBelieved(t *testing.T) {
-	facts, _ := newTestFacts()
+func TestNewestEntryWinsPerAddress(t *testing.T) {
+	facts, _ := newTestFleetState()
 	only := func() fleet.ServerID {
 		servers := facts.View().Servers("llm")
 		require.Len(t, servers, 1)
@@ -344,37 +344,37 @@
 
 // Agents of a region whose reader of the store was cut off heard of a version 0.9 s after its
 // name, though boxes of the other regions told of its age each 0.05 s.
-func TestAVersionIsHeardOfFromThoseWhoKnowItsAge(t *testing.T) {
-	facts, clock := newTestFacts()
-	facts.LearnVersions([]fleet.VersionAge{{Model: "m", Version: 2, Age: 300 * time.Millisecond}, {Model: "m", Version: 3, Age: 100 * time.Millisecond}}, "entry-2")
+func TestVersionAgeFromPeerPublishesVersion(t *testing.T) {
+	facts, clock := newTestFleetState()
+	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: 300 * time.Millisecond}, {Model: "m", Version: 3, Age: 100 * time.Millisecond}}, "entry-2")
 	named := facts.View().PublishedVersions("m")
 	require.EqualValues(t, 3, named.Newest().Version)
 	require.Equal(t, clock.Now().Add(-100*time.Millisecond), named.Newest().PublishedAt)
 	require.Equal(t, clock.Now().Add(-300*time.Millisecond), named.PublishedAt(2))
 	require.Len(t, facts.VersionAges(), 2, "it is told on")
-	facts.Apply([]fleet.Fact{wantedVersion(3, 9)}, "store")
+	facts.Apply([]fleet.Fact{publishedFact(3, 9)}, "store")
 	require.Equal(t, named, facts.View().PublishedVersions("m"), "the store's own word changes nothing")
-	facts.LearnVersions([]fleet.VersionAge{{Model: "m", Version: 2, Age: time.Second}}, "entry-3")
+	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: time.Second}}, "entry-3")
 	require.EqualValues(t, 3, facts.View().PublishedVersions("m").Newest().Version)
 }
 
 // A change that came shortly after others waited until more had been gathered.
-func TestAFewChangesInSuccessionAreEachReadAtOnce(t *testing.T) {
+func TestBurstOfChangesIsReadImmediately(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	reader := &storeReader{times: testTimes}
+	reader := &storeReader{intervals: testIntervals}
 	spared := 0
 	for range 20 {
-		if reader.spare(clock.Now()) {
+		if reader.takeToken(clock.Now()) {
 			spared++
 		}
 	}
-	require.Equal(t, readsAtOnce, spared)
-	clock.Advance(testTimes.gather)
-	require.True(t, reader.spare(clock.Now()))
-	require.False(t, reader.spare(clock.Now()))
+	require.Equal(t, readBurst, spared)
+	clock.Advance(testIntervals.batchDelay)
+	require.True(t, reader.takeToken(clock.Now()))
+	require.False(t, reader.takeToken(clock.Now()))
 	clock.Advance(time.Minute)
-	for range readsAtOnce {
-		require.True(t, reader.spare(clock.Now()))
+	for range readBurst {
+		require.True(t, reader.takeToken(clock.Now()))
 	}
-	require.False(t, reader.spare(clock.Now()))
+	require.False(t, reader.takeToken(clock.Now()))
 }
--- a/internal/direct/follow.go
+++ b/internal/direct/follow.go
@@ -19,15 +19,15 @@
 	address    member.Address
 	// open opens the stream and returns what receives its next message.
 	open func(ctx context.Context, client wire.DRPCFleetClient) (receive func() (M, error), err error)
-	// take is called with each message.
-	take func(message M)
-	// regained adds to the log line of the first message, lost to that of the end after one.
+	// onMessage is called with each message.
+	onMessage func(message M)
+	// regainedFields adds to the log line of the first message, lost to that of the end after one.
 	// Either may be nil.
-	regained func(line *zerolog.Event, first M)
-	lost     func(line *zerolog.Event, err error)
+	regainedFields func(line *zerolog.Event, first M)
+	lostFields     func(line *zerolog.Event, err error)
 }
 
-// errSilent reports a peer that said nothing for statusSilence.
+// errSilent reports a peer that said nothing for statusTimeout.
 var errSilent = errors.New("peer is silent")
 
 // followStream takes what a stream tells until it fails, falls silent or the context ends, and
@@ -40,7 +40,7 @@
 			heard = true
 			stream.logRegained(log.Info(), message)
 		}
-		stream.take(message)
+		stream.onMessage(message)
 	})
 	if heard && ctx.Err() == nil {
 		stream.logLost(log.Warn(), err)
@@ -53,7 +53,7 @@
 func (s *peerStream[M]) receive(ctx context.Context, clock clockwork.Clock, peers *daemon.Peers, take func(message M)) error {
 	streamCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watchdog := clock.AfterFunc(statusSilence, func() { cancel(errSilent) })
+	watchdog := clock.AfterFunc(statusTimeout, func() { cancel(errSilent) })
 	defer watchdog.Stop()
 	conn, err := peers.Dial(streamCtx, s.address)
 	if err != nil {
@@ -68,7 +68,7 @@
 		}
 		if err == nil {
 			take(message)
-			watchdog.Reset(statusSilence)
+			watchdog.Reset(statusTimeout)
 		}
 	}
 	if cause := context.Cause(streamCtx); cause != nil {
@@ -79,16 +79,16 @@
 
 func (s *peerStream[M]) logRegained(line *zerolog.Event, first M) {
 	line.Str("dependency", s.dependency).Str("address", string(s.address))
-	if s.regained != nil {
-		s.regained(line, first)
+	if s.regainedFields != nil {
+		s.regainedFields(line, first)
 	}
 	line.Msg("dependency regained")
 }
 
 func (s *peerStream[M]) logLost(line *zerolog.Event, err error) {
 	line.Str("dependency", s.dependency).Str("address", string(s.address))
-	if s.lost != nil {
-		s.lost(line, err)
+	if s.lostFields != nil {
+		s.lostFields(line, err)
 	}
 	line.Err(err).Msg("dependency lost")
 }
--- a/internal/direct/follow_test.go
+++ b/internal/direct/follow_test.go
@@ -17,14 +17,14 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// teller tells the statuses of a server and then stays silent, unless it ends the stream.
-type teller struct {
+// statusReporter tells the statuses of a server and then stays silent, unless it ends the stream.
+type statusReporter struct {
 	wire.DRPCFleetUnimplementedServer
 	statuses []*wire.ServerStatus
 	ends     bool
 }
 
-func (s *teller) Server(_ *wire.FollowRequest, stream wire.DRPCFleet_ServerStream) error {
+func (s *statusReporter) Server(_ *wire.FollowRequest, stream wire.DRPCFleet_ServerStream) error {
 	for _, status := range s.statuses {
 		if err := stream.Send(status); err != nil {
 			return err
@@ -36,9 +36,9 @@
 	return nil
 }
 
-// followTeller follows a teller; taken is called with what it tells. It returns what the log
+// followReporter follows a teller; taken is called with what it tells. It returns what the log
 // says, besides what followStream returns.
-func followTeller(ctx context.Context, t *testing.T, clock clockwork.Clock, told *teller, taken func(version uint64)) (log []string, heard bool, err error) {
+func followReporter(ctx context.Context, t *testing.T, clock clockwork.Clock, told *statusReporter, taken func(version uint64)) (log []string, heard bool, err error) {
 	t.Helper()
 	mux := drpcmux.New()
 	require.NoError(t, wire.DRPCRegisterFleet(mux, told))
@@ -56,9 +56,9 @@
 			}
 			return stream.Recv, nil
 		},
-		take:     func(status *wire.ServerStatus) { taken(status.Version) },
-		regained: func(line *zerolog.Event, first *wire.ServerStatus) { line.Uint64("first", first.Version) },
-		lost:     func(line *zerolog.Event, err error) { line.Bool("silent", errors.Is(err, errSilent)) },
+		onMessage:      func(status *wire.ServerStatus) { taken(status.Version) },
+		regainedFields: func(line *zerolog.Event, first *wire.ServerStatus) { line.Uint64("first", first.Version) },
+		lostFields:     func(line *zerolog.Event, err error) { line.Bool("silent", errors.Is(err, errSilent)) },
 	})
 	log = strings.Split(strings.TrimSpace(lines.String()), "\n")
 	for i := range log {
@@ -67,10 +67,10 @@
 	return log, heard, err
 }
 
-func TestAProcessThatIsFollowedIsLoggedOnceAsRegainedAndOnceAsLost(t *testing.T) {
+func TestFollowedProcessIsLoggedOnceAsRegainedAndLost(t *testing.T) {
 	var taken []uint64
-	told := &teller{statuses: []*wire.ServerStatus{{Version: 3}, {Version: 4}}, ends: true}
-	log, heard, err := followTeller(t.Context(), t, clockwork.NewFakeClock(), told, func(version uint64) { taken = append(taken, version) })
+	told := &statusReporter{statuses: []*wire.ServerStatus{{Version: 3}, {Version: 4}}, ends: true}
+	log, heard, err := followReporter(t.Context(), t, clockwork.NewFakeClock(), told, func(version uint64) { taken = append(taken, version) })
 	require.Error(t, err)
 	require.True(t, heard)
 	require.Equal(t, []uint64{3, 4}, taken)
@@ -80,11 +80,11 @@
 	}, log)
 }
 
-func TestAProcessThatFallsSilentIsLostAsSilent(t *testing.T) {
+func TestSilentProcessIsLoggedAsSilent(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	told := &teller{statuses: []*wire.ServerStatus{{Version: 3}}}
-	log, heard, err := followTeller(t.Context(), t, clock, told, func(uint64) {
-		go clock.Advance(statusSilence)
+	told := &statusReporter{statuses: []*wire.ServerStatus{{Version: 3}}}
+	log, heard, err := followReporter(t.Context(), t, clock, told, func(uint64) {
+		go clock.Advance(statusTimeout)
 	})
 	require.ErrorIs(t, err, errSilent)
 	require.True(t, heard)
@@ -92,11 +92,11 @@
 	require.Contains(t, log[1], `"silent":true,"error":"peer is silent","message":"dependency lost"`)
 }
 
-func TestAProcessThatIsFollowedNoMoreIsNotLost(t *testing.T) {
+func TestCanceledFollowIsNotLoggedAsLost(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var taken []uint64
-	told := &teller{statuses: []*wire.ServerStatus{{Version: 3}, {Version: 4}}}
-	log, heard, err := followTeller(ctx, t, clockwork.NewFakeClock(), told, func(version uint64) {
+	told := &statusReporter{statuses: []*wire.ServerStatus{{Version: 3}, {Version: 4}}}
+	log, heard, err := followReporter(ctx, t, clockwork.NewFakeClock(), told, func(version uint64) {
 		taken = append(taken, version)
 		cancel()
 	})
@@ -107,8 +107,8 @@
 	require.Contains(t, log[0], "dependency regained")
 }
 
-func TestAProcessThatIsNeverHeardIsNeitherRegainedNorLost(t *testing.T) {
-	log, heard, err := followTeller(t.Context(), t, clockwork.NewFakeClock(), &teller{ends: true}, func(uint64) {})
+func TestProcessWithoutMessagesIsNotLogged(t *testing.T) {
+	log, heard, err := followReporter(t.Context(), t, clockwork.NewFakeClock(), &statusReporter{ends: true}, func(uint64) {})
 	require.Error(t, err)
 	require.False(t, heard)
 	require.Equal(t, []string{""}, log)
--- a/internal/direct/loader.go
+++ b/internal/direct/loader.go
@@ -23,15 +23,15 @@
 	// reportInterval is how often the backend server's report is read; from its
 	// own box it is fresh and free.
 	reportInterval = 100 * time.Millisecond
-	// orderInterval is the same while the server carries an order out: callers wait for it.
-	orderInterval = 20 * time.Millisecond
-	// reportTimeout bounds reading it.
-	reportTimeout = time.Second
-	// loadRetry is the wait after a step towards the wanted weights that failed.
-	loadRetry = 200 * time.Millisecond
-	// weightsMemory bounds the pieces that are held, in bytes: two versions of the
+	// orderPollInterval is the same while the server carries an order out: callers wait for it.
+	orderPollInterval = 20 * time.Millisecond
+	// serverCallTimeout bounds reading it.
+	serverCallTimeout = time.Second
+	// loadRetryDelay is the wait after a step towards the wanted weights that failed.
+	loadRetryDelay = 200 * time.Millisecond
+	// maxChunkMemory bounds the pieces that are held, in bytes: two versions of the
 	// largest models of today fit many times.
-	weightsMemory = 64 << 20
+	maxChunkMemory = 64 << 20
 )
 
 // Loader brings the wanted weights to the backend server of the box and tells
@@ -40,23 +40,23 @@
 	wire.DRPCFleetUnimplementedServer
 
 	options LoaderOptions
-	duties  *kernel.TaskGroup
+	tasks   *kernel.TaskGroup
 	store   *weights.MemoryStore
 
 	mu sync.Mutex
-	// published are the manifests of the versions whose pieces are held.
-	published map[publishedVersion]*weights.Manifest
-	// copies are the versions that are being fetched or have been.
-	copies   map[fleet.WeightsVersion]*versionCopy
-	staged   stagedPieces
-	report   fleet.Report
-	reportAt time.Time
+	// manifests are the manifests of the versions whose pieces are held.
+	manifests map[publishedVersion]*weights.Manifest
+	// downloads are the versions that are being fetched or have been.
+	downloads map[fleet.WeightsVersion]*versionDownload
+	verified  verifiedChunks
+	report    fleet.Report
+	reportAt  time.Time
 	// incarnation is which start of the server has reported; 0 if none has said.
 	incarnation member.Incarnation
 	// leaving is set while the server says that it will end.
 	leaving bool
-	// asked is set once the server has been asked for a report.
-	asked    bool
+	// polled is set once the server has been asked for a report.
+	polled   bool
 	swapping bool
 	// swapAt is when the server is to be swapped; zero if that is not known.
 	swapAt   time.Time
@@ -71,24 +71,24 @@
 	Service member.Service
 	// Address is that of the backend server on the box, Agent that of this
 	// process for its peers.
-	Address   member.Address
-	Agent     member.Address
-	AgentPort uint16
-	Facts     *Facts
-	Suspects  *Suspects
-	Peers     *daemon.Peers
-	Server    provider.ModelServer
-	Origin    provider.ChunkOrigin
-	Clock     clockwork.Clock
-	Log       zerolog.Logger
-	Metrics   *Metrics
-	// IsNear reports whether a failure domain is in the own region.
-	IsNear func(member.FailureDomain) bool
+	Address         member.Address
+	Agent           member.Address
+	AgentPort       uint16
+	FleetState      *FleetState
+	SuspectRequests *SuspectRequests
+	Peers           *daemon.Peers
+	Server          provider.ModelServer
+	Origin          provider.ChunkOrigin
+	Clock           clockwork.Clock
+	Log             zerolog.Logger
+	Metrics         *Metrics
+	// IsLocal reports whether a failure domain is in the own region.
+	IsLocal func(member.FailureDomain) bool
 	// LinkMbps is the rate of the box's link, in Mbit/s.
 	LinkMbps float64
-	// Bound is how long after newer weights were named older ones may still start
+	// VersionBound is how long after newer weights were named older ones may still start
 	// a request.
-	Bound time.Duration
+	VersionBound time.Duration
 }
 
 // startLoader starts to follow the wanted weights.
@@ -97,27 +97,27 @@
 		options: LoaderOptions{
 			Box: p.settings.Box, Service: member.Service(p.settings.Direct.Service),
 			Address: member.Address(p.settings.Direct.Server), Agent: member.Address(p.settings.Listen.Peers),
-			AgentPort: uint16(p.settings.Direct.AgentPort),
-			Facts:     p.facts, Suspects: p.suspects, Peers: p.peers,
-			Server: restingServer(p.options.Platform.Server, &restKeeper{name: "server", clock: p.options.Clock, log: p.options.Log}),
-			Origin: restingOrigin(p.options.Platform.Origin, &restKeeper{name: "origin", clock: p.options.Clock, log: p.options.Log}),
-			Clock:  p.options.Clock, Log: p.options.Log, Metrics: p.metrics, IsNear: p.isNear,
-			LinkMbps: p.settings.Direct.LinkMbps, Bound: time.Duration(p.settings.Direct.VersionBound),
+			AgentPort:  uint16(p.settings.Direct.AgentPort),
+			FleetState: p.fleetState, SuspectRequests: p.suspects, Peers: p.peers,
+			Server: serverWithBackoff(p.options.Platform.Server, &serverBackoff{name: "server", clock: p.options.Clock, log: p.options.Log}),
+			Origin: originWithBackoff(p.options.Platform.Origin, &serverBackoff{name: "origin", clock: p.options.Clock, log: p.options.Log}),
+			Clock:  p.options.Clock, Log: p.options.Log, Metrics: p.metrics, IsLocal: p.isLocal,
+			LinkMbps: p.settings.Direct.LinkMbps, VersionBound: time.Duration(p.settings.Direct.VersionBound),
 		},
-		duties: kernel.NewTaskGroup(), store: weights.NewMemoryStore(weightsMemory),
-		published: make(map[publishedVersion]*weights.Manifest),
-		copies:    make(map[fleet.WeightsVersion]*versionCopy),
+		tasks: kernel.NewTaskGroup(), store: weights.NewMemoryStore(maxChunkMemory),
+		manifests: make(map[publishedVersion]*weights.Manifest),
+		downloads: make(map[fleet.WeightsVersion]*versionDownload),
 		changed:   make(chan struct{}), done: make(chan struct{}),
 	}
 	if err := wire.DRPCRegisterFleet(p.mux, l); err != nil {
 		return err
 	}
-	if err := wire.DRPCRegisterChunks(p.mux, NewPieceServer(l.store, p.settings.Direct.LinkMbps, l.isIdle)); err != nil {
+	if err := wire.DRPCRegisterChunks(p.mux, NewChunkServer(l.store, p.settings.Direct.LinkMbps, l.isIdle)); err != nil {
 		return err
 	}
-	l.duties.Go(l.watchServer)
-	l.duties.Go(l.follow)
-	return p.kernel.Register(l)
+	l.tasks.Go(l.pollServer)
+	l.tasks.Go(l.reconcileLoop)
+	return p.services.Register(l)
 }
 
 // String returns the service's name.
@@ -126,7 +126,7 @@
 // Stop ends following.
 func (l *Loader) Stop(ctx context.Context) error {
 	l.stopOnce.Do(func() { close(l.done) })
-	return l.duties.Stop(ctx)
+	return l.tasks.Stop(ctx)
 }
 
 // notify wakes the streams. The lock must be held.
@@ -135,8 +135,8 @@
 	l.changed = make(chan struct{})
 }
 
-// watchServer reads the backend server's report again and again.
-func (l *Loader) watchServer(ctx context.Context) {
+// pollServer reads the backend server's report again and again.
+func (l *Loader) pollServer(ctx context.Context) {
 	lost := false
 	for ctx.Err() == nil {
 		err := l.readReport(ctx)
@@ -154,19 +154,19 @@
 
 // readReport reads the backend server's report once.
 func (l *Loader) readReport(ctx context.Context) error {
-	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, serverCallTimeout)
 	report, err := l.options.Server.Report(callCtx)
 	cancel()
 	leaving := l.options.Server.Leaving()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked = true
+	l.polled = true
 	if leaving && !l.leaving {
 		l.options.Log.Info().Str("address", string(l.options.Address)).Uint64("incarnation", uint64(report.Incarnation)).Msg("server says that it leaves")
 	}
 	l.leaving = leaving
 	if err == nil {
-		err = l.noteStart(report.Incarnation)
+		err = l.noteIncarnation(report.Incarnation)
 	}
 	if err == nil {
 		l.report, l.reportAt = report, l.options.Clock.Now()
@@ -177,22 +177,22 @@
 	return err
 }
 
-// errEarlierStart reports an answer of a start of the server before the present one.
-var errEarlierStart = errors.New("report is of an earlier start of the server")
+// errEarlierIncarnation reports an answer of a start of the server before the present one.
+var errEarlierIncarnation = errors.New("report is of an earlier start of the server")
 
-// noteStart notes which start of the server reports. Nothing that was known of the one
+// noteIncarnation notes which start of the server reports. Nothing that was known of the one
 // before holds of the next: what was staged may be gone, and swaps are planned anew.
-func (l *Loader) noteStart(reported member.Incarnation) error {
+func (l *Loader) noteIncarnation(reported member.Incarnation) error {
 	switch {
 	case reported == 0 || reported == l.incarnation:
 		return nil
 	case reported < l.incarnation:
-		return errEarlierStart
+		return errEarlierIncarnation
 	}
 	if l.incarnation != 0 {
 		l.options.Log.Warn().Str("address", string(l.options.Address)).Uint64("incarnation", uint64(reported)).
 			Uint64("before", uint64(l.incarnation)).Msg("server has started again")
-		l.staged, l.swapAt = stagedPieces{}, time.Time{}
+		l.verified, l.swapAt = verifiedChunks{}, time.Time{}
 	}
 	l.incarnation = reported
 	return nil
@@ -217,9 +217,9 @@
 
 // target is what the server should run.
 type target struct {
-	model  fleet.ModelName
-	engine *fleet.Engine
-	named  fleet.PublishedVersions
+	model     fleet.ModelName
+	engine    *fleet.Engine
+	published fleet.PublishedVersions
 	// origin publishes the weights; it has no address if none is known.
 	origin  fleet.Service
 	servers []fleet.Server
@@ -229,19 +229,19 @@
 }
 
 // newest is the version that the server should come to.
-func (t *target) newest() fleet.WeightsVersion { return t.named.Newest().Version }
+func (t *target) newest() fleet.WeightsVersion { return t.published.Newest().Version }
 
 // target returns what the server should run; ok is false until it is known.
 func (l *Loader) target() (target, bool) {
-	view := l.options.Facts.View()
+	view := l.options.FleetState.View()
 	service := view.Service(l.options.Service)
 	if service == nil || service.Engine == nil || len(service.Engine.Models) == 0 {
 		return target{}, false
 	}
 	model := service.Engine.Models[0]
 	want := target{
-		model: model, engine: service.Engine, named: view.PublishedVersions(model),
-		servers: staying(view.Servers(l.options.Service)), resumable: view.Resumable(l.options.Service),
+		model: model, engine: service.Engine, published: view.PublishedVersions(model),
+		servers: withoutLeaving(view.Servers(l.options.Service)), resumable: view.Resumable(l.options.Service),
 	}
 	if origin := view.Origin(); origin != nil {
 		want.origin = *origin
@@ -249,9 +249,9 @@
 	return want, true
 }
 
-// staying returns the servers that have not said that they will end: those who leave get no newer weights,
+// withoutLeaving returns the servers that have not said that they will end: those who leave get no newer weights,
 // so no swap waits its turn behind theirs.
-func staying(servers []fleet.Server) []fleet.Server {
+func withoutLeaving(servers []fleet.Server) []fleet.Server {
 	isLeaving := func(s fleet.Server) bool { return s.Leaving }
 	if !slices.ContainsFunc(servers, isLeaving) {
 		return servers
@@ -266,13 +266,13 @@
 	l.mu.Lock()
 	leaving, incarnation := l.leaving, l.incarnation
 	l.mu.Unlock()
-	return leaving || incarnation != 0 && slices.ContainsFunc(l.options.Facts.View().Servers(l.options.Service), func(s fleet.Server) bool {
+	return leaving || incarnation != 0 && slices.ContainsFunc(l.options.FleetState.View().Servers(l.options.Service), func(s fleet.Server) bool {
 		return s.Address == l.options.Address && s.Incarnation == incarnation && s.Leaving
 	})
 }
 
-// loaded returns the whole version of a model that the server has; 0 for none.
-func loaded(report *fleet.Report, model fleet.ModelName, layers int) fleet.WeightsVersion {
+// loadedVersion returns the whole version of a model that the server has; 0 for none.
+func loadedVersion(report *fleet.Report, model fleet.ModelName, layers int) fleet.WeightsVersion {
 	for i := range report.Models {
 		if report.Models[i].Name != model {
 			continue
@@ -284,72 +284,72 @@
 	return 0
 }
 
-// follow brings the wanted weights to the server, again whenever they change or
+// reconcileLoop brings the wanted weights to the server, again whenever they change or
 // the server has lost them.
-func (l *Loader) follow(ctx context.Context) {
+func (l *Loader) reconcileLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		want, known := l.target()
 		report, answers := l.serverReport()
 		if known && answers && !report.Busy {
-			l.step(ctx, &want, loaded(&report, want.model, want.engine.Layers))
+			l.reconcile(ctx, &want, loadedVersion(&report, want.model, want.engine.Layers))
 		}
-		sleep(ctx, l.options.Clock, followInterval)
+		sleep(ctx, l.options.Clock, reconcileInterval)
 	}
 }
 
-// followInterval is how often is looked at what the server lacks.
-const followInterval = 50 * time.Millisecond
+// reconcileInterval is how often is looked at what the server lacks.
+const reconcileInterval = 50 * time.Millisecond
 
-// step does what is due for a server that holds a whole version, or none if it is
+// reconcile does what is due for a server that holds a whole version, or none if it is
 // 0.
-func (l *Loader) step(ctx context.Context, want *target, have fleet.WeightsVersion) {
+func (l *Loader) reconcile(ctx context.Context, want *target, have fleet.WeightsVersion) {
 	if have >= want.newest() {
-		l.announce(time.Time{})
-		l.endCopies()
-		if err := l.adopt(ctx, want, have); err != nil {
+		l.announceSwap(time.Time{})
+		l.cancelDownloads()
+		if err := l.importRunning(ctx, want, have); err != nil {
 			l.options.Log.Debug().Err(err).Msg("staged pieces not adopted")
 		}
 		return
 	}
 	if l.isLeaving() {
 		// What was begun goes on, as other boxes may fetch it from here.
-		l.announce(time.Time{})
+		l.announceSwap(time.Time{})
 		return
 	}
-	l.startCopy(want, want.newest())
-	version, at, ok := l.due(want, have)
-	l.announce(at)
+	l.startDownload(want, want.newest())
+	version, at, ok := l.nextSwap(want, have)
+	l.announceSwap(at)
 	if !ok || l.options.Clock.Now().Before(at) {
 		return
 	}
 	if err := l.swap(ctx, want, version, have > 0); err != nil && ctx.Err() == nil {
 		l.options.Log.Warn().Str("model", string(want.model)).Uint64("version", uint64(version)).
 			Uint64("have", uint64(have)).Err(err).Msg("weights not taken, trying again")
-		sleep(ctx, l.options.Clock, loadRetry)
+		sleep(ctx, l.options.Clock, loadRetryDelay)
 	}
 }
 
-// due returns the version that the server is to be swapped to, and when: the newest
+// nextSwap returns the version that the server is to be swapped to, and when: the newest
 // that is whole here. ok is false if there is none.
-func (l *Loader) due(want *target, have fleet.WeightsVersion) (version fleet.WeightsVersion, at time.Time, ok bool) {
-	version, whole := l.newestWhole()
+func (l *Loader) nextSwap(want *target, have fleet.WeightsVersion) (version fleet.WeightsVersion, at time.Time, ok bool) {
+	version, whole := l.newestComplete()
 	switch {
 	case version <= have:
 		return 0, time.Time{}, false
 	case have == 0:
 		return version, whole, true
 	}
-	return version, l.turn(want, have, version, whole), true
+	return version, l.swapTime(want, have, version, whole), true
 }
 
-// announceTolerance is by how much a swap must move to be told again at once.
-const announceTolerance = 100 * time.Millisecond
+// swapTimeTolerance is by how much a swap must move to be told again at once.
+const swapTimeTolerance = 100 * time.Millisecond
 
-// announce notes when the server is to be swapped, the zero time for not at all.
-func (l *Loader) announce(at time.Time) {
+// announceSwap notes when the server is to be swapped, the zero time for not at all.
+func (l *Loader) announceSwap(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.swapAt.IsZero() == at.IsZero() && l.swapAt.Sub(at).Abs() < announceTolerance {
+	if l.swapAt.IsZero() == at.IsZero() && l.swapAt.Sub(at).Abs() < swapTimeTolerance {
 		return
 	}
 	l.swapAt = at
@@ -365,12 +365,12 @@
 		l.mu.Lock()
 		changed := l.changed
 		l.mu.Unlock()
-		status, known := l.status()
-		if known && (!sameServerStatus(told, status, l.options.Clock.Since(toldAt)) || l.options.Clock.Since(toldAt) >= statusHeartbeat) {
-			message := briefServerStatus(told, status)
+		status, known := l.serverStatus()
+		if known && (!isSameServerStatus(told, status, l.options.Clock.Since(toldAt)) || l.options.Clock.Since(toldAt) >= statusHeartbeat) {
+			message := serverStatusDelta(told, status)
 			if told == nil {
 				// An entry box that has just started may have nobody else to hear it from. Others tell it themselves.
-				evidence, _ := l.options.Suspects.Since(0)
+				evidence, _ := l.options.SuspectRequests.Since(0)
 				message.Evidence = evidenceToWire(evidence, l.options.Clock.Now())
 			}
 			if err := stream.Send(message); err != nil {
@@ -388,8 +388,8 @@
 	}
 }
 
-// briefServerStatus leaves out what the receiver was told before and does not change.
-func briefServerStatus(told, status *wire.ServerStatus) *wire.ServerStatus {
+// serverStatusDelta leaves out what the receiver was told before and does not change.
+func serverStatusDelta(told, status *wire.ServerStatus) *wire.ServerStatus {
 	if told == nil {
 		return status
 	}
@@ -404,9 +404,9 @@
 	return brief
 }
 
-// status is what is told of the server; ok is false until the agent knows what the
+// serverStatus is what is told of the server; ok is false until the agent knows what the
 // server's weights are called, or has asked it for the first time.
-func (l *Loader) status() (status *wire.ServerStatus, ok bool) {
+func (l *Loader) serverStatus() (status *wire.ServerStatus, ok bool) {
 	want, known := l.target()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -414,31 +414,31 @@
 		Box: l.options.Box, Address: string(l.options.Address), Swapping: l.swapping,
 		Running: uint32(l.report.Running), Waiting: uint32(l.report.Waiting),
 		MemoryUsed: l.report.MemoryUsed, MemoryTotal: l.report.MemoryTotal, Pace: l.report.Slowdown,
-		Ages: agesToWire(l.options.Facts.VersionAges()), Incarnation: uint64(l.incarnation), Leaving: l.leaving,
+		Ages: agesToWire(l.options.FleetState.VersionAges()), Incarnation: uint64(l.incarnation), Leaving: l.leaving,
 	}
 	if !l.swapAt.IsZero() {
 		status.SwapInMilliseconds = uint64(max(1, l.swapAt.Sub(l.options.Clock.Now()).Milliseconds()))
 	}
 	if known && !l.reportAt.IsZero() {
 		status.Model = string(want.model)
-		version := loaded(&l.report, want.model, want.engine.Layers)
+		version := loadedVersion(&l.report, want.model, want.engine.Layers)
 		status.Version, status.Whole = uint64(version), version > 0
 	}
-	return status, known && l.asked
+	return status, known && l.polled
 }
 
-// sameServerStatus reports whether entry boxes need not be told again at once that were
+// isSameServerStatus reports whether entry boxes need not be told again at once that were
 // told a status some time ago.
-func sameServerStatus(told, status *wire.ServerStatus, ago time.Duration) bool {
+func isSameServerStatus(told, status *wire.ServerStatus, ago time.Duration) bool {
 	return told != nil && told.Incarnation == status.Incarnation && told.Leaving == status.Leaving && told.Swapping == status.Swapping && told.Whole == status.Whole && told.Version == status.Version &&
-		sameSwap(told.SwapInMilliseconds, status.SwapInMilliseconds, ago)
+		isSameSwapTime(told.SwapInMilliseconds, status.SwapInMilliseconds, ago)
 }
 
-// sameSwap reports whether a swap that was told some time ago has not moved.
-func sameSwap(told, now uint64, ago time.Duration) bool {
+// isSameSwapTime reports whether a swap that was told some time ago has not moved.
+func isSameSwapTime(told, now uint64, ago time.Duration) bool {
 	if told == 0 || now == 0 {
 		return told == now
 	}
 	moved := time.Duration(int64(now)-int64(told))*time.Millisecond + ago
-	return moved.Abs() < announceTolerance
+	return moved.Abs() < swapTimeTolerance
 }
--- a/internal/direct/manifest.go
+++ b/internal/direct/manifest.go
@@ -19,28 +19,28 @@
 }
 
 const (
-	// manifestTries is how often others are asked for a manifest before the origin is, and
-	// manifestWait the time between: in all several times what it takes to come down a tree of
+	// maxManifestTries is how often others are asked for a manifest before the origin is, and
+	// manifestRetryDelay the time between: in all several times what it takes to come down a tree of
 	// three levels while the origin is busy.
-	manifestTries = 10
-	manifestWait  = 50 * time.Millisecond
+	maxManifestTries   = 10
+	manifestRetryDelay = 50 * time.Millisecond
 )
 
 // manifest returns the manifest of a version: held, of a peer, or of the origin.
 func (l *Loader) manifest(ctx context.Context, want *target, version fleet.WeightsVersion) (*weights.Manifest, error) {
 	key := publishedVersion{want.model, version}
 	l.mu.Lock()
-	held := l.published[key]
+	held := l.manifests[key]
 	l.mu.Unlock()
 	if held != nil {
 		return held, nil
 	}
 	asked := l.options.Clock.Now()
-	manifest, err := l.askForManifest(ctx, want, version)
+	manifest, err := l.manifestFromPeers(ctx, want, version)
 	source := "peer"
 	if err != nil {
 		source = "origin"
-		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, serverCallTimeout)
 		defer cancel()
 		manifest, err = l.options.Origin.Manifest(callCtx, want.origin.Origin, want.model, version)
 		if err != nil {
@@ -51,30 +51,30 @@
 		Dur("taken_ms", l.options.Clock.Since(asked)).Msg("manifest taken")
 	l.store.Add(manifest)
 	l.mu.Lock()
-	l.published[key] = manifest
+	l.manifests[key] = manifest
 	l.mu.Unlock()
-	l.forgetOlder(key)
+	l.dropOlder(key)
 	return manifest, nil
 }
 
-// askForManifest asks the agent above in the tree of the region and, in between, a neighbour,
+// manifestFromPeers asks the agent above in the tree of the region and, in between, a neighbour,
 // which may have the manifest earlier or be there when that agent is not. The agents at the top
 // ask nobody.
-func (l *Loader) askForManifest(ctx context.Context, want *target, version fleet.WeightsVersion) (*weights.Manifest, error) {
-	above, ok := manifestParent(l.records(want), member.BoxID(l.options.Agent), want.model, version)
+func (l *Loader) manifestFromPeers(ctx context.Context, want *target, version fleet.WeightsVersion) (*weights.Manifest, error) {
+	above, ok := manifestParent(l.agentRecords(want), member.BoxID(l.options.Agent), want.model, version)
 	if !ok {
 		return nil, errNoPeer
 	}
 	neighbours := l.neighbours(want)
-	for try := range manifestTries {
+	for try := range maxManifestTries {
 		from := member.Address(above)
 		if try%2 == 1 && len(neighbours) > 0 {
 			from = neighbours[try/2%len(neighbours)].Peers
 		}
-		if manifest, err := l.manifestFrom(ctx, want, version, from); err == nil {
+		if manifest, err := l.requestManifest(ctx, want, version, from); err == nil {
 			return manifest, nil
 		}
-		sleep(ctx, l.options.Clock, manifestWait)
+		sleep(ctx, l.options.Clock, manifestRetryDelay)
 	}
 	return nil, errNoPeer
 }
@@ -88,7 +88,7 @@
 	isNear := false
 	for i := range agents {
 		all = append(all, agents[i].Box)
-		if agents[i].Region == regionNear {
+		if agents[i].Region == regionLocal {
 			near = append(near, agents[i].Box)
 			isNear = isNear || agents[i].Box == self
 		}
@@ -100,13 +100,13 @@
 	return member.NewTree(fmt.Sprintf("manifest/%s/%d", model, version), near).Parent(self)
 }
 
-// forgetOlder drops the pieces of versions before the last two.
-func (l *Loader) forgetOlder(newest publishedVersion) {
+// dropOlder drops the pieces of versions before the last two.
+func (l *Loader) dropOlder(newest publishedVersion) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for key, manifest := range l.published {
+	for key, manifest := range l.manifests {
 		if key.model == newest.model && key.version+1 < newest.version {
-			delete(l.published, key)
+			delete(l.manifests, key)
 			l.store.Drop(manifest.Digest())
 		}
 	}
@@ -115,9 +115,9 @@
 // errNoPeer reports that no peer has a manifest.
 var errNoPeer = errors.New("no peer has the manifest")
 
-// manifestFrom asks one agent.
-func (l *Loader) manifestFrom(ctx context.Context, want *target, version fleet.WeightsVersion, agent member.Address) (*weights.Manifest, error) {
-	callCtx, cancel := context.WithTimeout(ctx, reportTimeout/4)
+// requestManifest asks one agent.
+func (l *Loader) requestManifest(ctx context.Context, want *target, version fleet.WeightsVersion, agent member.Address) (*weights.Manifest, error) {
+	callCtx, cancel := context.WithTimeout(ctx, serverCallTimeout/4)
 	defer cancel()
 	answer, err := wire.NewDRPCFleetClient(l.options.Peers.Conn(agent)).
 		Published(callCtx, &wire.PublishedRequest{Model: string(want.model), Version: uint64(version)})
@@ -129,7 +129,7 @@
 	}
 	manifest, err := weights.Parse(answer.Content, weights.Digest{})
 	if err == nil && (manifest.Model != string(want.model) || manifest.Version != strconv.FormatUint(uint64(version), 10)) {
-		err = errOtherManifest
+		err = errWrongManifest
 	}
 	if err != nil {
 		l.options.Log.Warn().Str("peer", string(agent)).Err(err).Msg("manifest refused")
@@ -138,14 +138,14 @@
 	return manifest, nil
 }
 
-// errOtherManifest reports a manifest that is not the one that was asked for.
-var errOtherManifest = errors.New("manifest is of another version")
+// errWrongManifest reports a manifest that is not the one that was asked for.
+var errWrongManifest = errors.New("manifest is of another version")
 
 // Published returns the manifest that is held of a version; empty if none is.
 func (l *Loader) Published(_ context.Context, request *wire.PublishedRequest) (*wire.ManifestResponse, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	manifest := l.published[publishedVersion{fleet.ModelName(request.Model), fleet.WeightsVersion(request.Version)}]
+	manifest := l.manifests[publishedVersion{fleet.ModelName(request.Model), fleet.WeightsVersion(request.Version)}]
 	if manifest == nil {
 		return &wire.ManifestResponse{}, nil
 	}
--- a/internal/direct/members.go
+++ b/internal/direct/membership.go
@@ -15,57 +15,57 @@
 	"github.com/cinderslip/cinderslip/pkg/state"
 )
 
-// forgetAfter is for how long an entry box that fell silent is still counted: one that was
+// silentExpiry is for how long an entry box that fell silent is still counted: one that was
 // killed is back well before, and the fleet is not divided anew meanwhile.
-const forgetAfter = 20 * time.Second
+const silentExpiry = 20 * time.Second
 
-// Members is what is known of all entry boxes, this one included. Each box writes a record of
+// Membership is what is known of all entry boxes, this one included. Each box writes a record of
 // itself; those that hear it directly mark it silent once they don't, and it overrules that
 // with its next record. Records pass from box to box, so that one box hears few others
 // directly and knows all of them.
-type Members struct {
+type Membership struct {
 	clock clockwork.Clock
 	log   zerolog.Logger
 	store *state.Store
 
 	mu  sync.Mutex
 	own member.Record
-	// known are all records, by name; silentSince is since when those were marked that are
+	// records are all records, by name; silentSince is since when those were marked that are
 	// silent.
-	known       map[member.BoxID]member.Record
+	records     map[member.BoxID]member.Record
 	silentSince map[member.BoxID]time.Time
 	// sorted are the records in the order of their names; nil if they have changed since.
 	sorted  []member.Record
 	changed chan struct{}
 }
 
-// NewMembers returns members that know only this box.
-func NewMembers(own member.Record, clock clockwork.Clock, log zerolog.Logger) *Members {
-	m := &Members{
+// NewMembership returns members that know only this box.
+func NewMembership(own member.Record, clock clockwork.Clock, log zerolog.Logger) *Membership {
+	m := &Membership{
 		clock: clock, log: log, store: state.NewStore(rand.Uint64()), own: own,
-		known: make(map[member.BoxID]member.Record), silentSince: make(map[member.BoxID]time.Time), changed: make(chan struct{}),
+		records: make(map[member.BoxID]member.Record), silentSince: make(map[member.BoxID]time.Time), changed: make(chan struct{}),
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.write(own)
+	m.putLocal(own)
 	return m
 }
 
-// write takes a record that was made here. The lock must be held.
-func (m *Members) write(record member.Record) {
+// putLocal takes a record that was made here. The lock must be held.
+func (m *Membership) putLocal(record member.Record) {
 	item, err := record.Item()
 	if err != nil {
 		m.log.Error().Str("box", string(record.Box)).Err(err).Msg("record not written")
 		return
 	}
 	m.store.Apply([]state.Item{item}, state.OriginLocal)
-	m.take(record)
+	m.put(record)
 	m.notify()
 }
 
-// take keeps a record. The lock must be held.
-func (m *Members) take(record member.Record) {
-	m.known[record.Box] = record
+// put keeps a record. The lock must be held.
+func (m *Membership) put(record member.Record) {
+	m.records[record.Box] = record
 	m.sorted = nil
 	if record.Status != member.StatusSilent {
 		delete(m.silentSince, record.Box)
@@ -75,13 +75,13 @@
 }
 
 // notify wakes those who wait for a change. The lock must be held.
-func (m *Members) notify() {
+func (m *Membership) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
 // SetStatus tells what this box is doing.
-func (m *Members) SetStatus(status member.Status) {
+func (m *Membership) SetStatus(status member.Status) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.own.Status == status {
@@ -89,11 +89,11 @@
 	}
 	m.own.Status = status
 	m.own.Sequence++
-	m.write(m.own)
+	m.putLocal(m.own)
 }
 
-// Learn takes what another box tells.
-func (m *Members) Learn(items []state.Item, from string) {
+// Merge takes what another box tells.
+func (m *Membership) Merge(items []state.Item, from string) {
 	// What is kept follows the order in which the store takes records: of two that came at the
 	// same moment the older one was kept for good.
 	m.mu.Lock()
@@ -103,7 +103,7 @@
 		return
 	}
 	log := m.log
-	if len(fresh) > factsLogged {
+	if len(fresh) > maxItemsLogged {
 		m.log.Info().Int("records", len(fresh)).Str("from", from).Msg("many entry boxes heard of")
 		log = m.log.Level(zerolog.WarnLevel)
 	}
@@ -114,52 +114,52 @@
 			continue
 		}
 		if record.Box == m.own.Box {
-			m.overrule(record, from)
+			m.refute(record, from)
 			continue
 		}
-		if before, known := m.known[record.Box]; !known || before.Status != record.Status {
+		if before, known := m.records[record.Box]; !known || before.Status != record.Status {
 			log.Info().Str("box", string(record.Box)).Str("region", string(record.Region)).Str("status", string(record.Status)).
 				Uint64("incarnation", uint64(record.Incarnation)).Str("from", from).Msg("entry box heard of")
 		}
-		m.take(record)
+		m.put(record)
 	}
 	m.notify()
 }
 
-// overrule answers a newer record of this box than its own: it was taken for silent, or the
+// refute answers a newer record of this box than its own: it was taken for silent, or the
 // time of day was later when it started the last time. The lock must be held.
-func (m *Members) overrule(told member.Record, from string) {
+func (m *Membership) refute(told member.Record, from string) {
 	m.log.Warn().Str("status", string(told.Status)).Uint64("incarnation", uint64(told.Incarnation)).Str("from", from).Msg("others hold a newer record of this box")
 	m.own.Incarnation = max(m.own.Incarnation, told.Incarnation)
 	m.own.Sequence = max(m.own.Sequence, told.Sequence) + 1
-	m.write(m.own)
+	m.putLocal(m.own)
 }
 
-// Mark notes that a box is silent which this one heard directly.
-func (m *Members) Mark(box member.BoxID) {
+// MarkSilent notes that a box is silent which this one heard directly.
+func (m *Membership) MarkSilent(box member.BoxID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	record, known := m.known[box]
+	record, known := m.records[box]
 	if !known || box == m.own.Box || record.Status == member.StatusSilent {
 		return
 	}
 	record.Status = member.StatusSilent
 	m.log.Info().Str("box", string(box)).Uint64("incarnation", uint64(record.Incarnation)).Msg("entry box marked silent")
-	m.write(record)
+	m.putLocal(record)
 }
 
 // Expire forgets the boxes that have been silent for long.
-func (m *Members) Expire() {
+func (m *Membership) Expire() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
 	for box, since := range m.silentSince {
-		if now.Sub(since) < forgetAfter {
+		if now.Sub(since) < silentExpiry {
 			continue
 		}
 		m.log.Info().Str("box", string(box)).Dur("silent_ms", now.Sub(since)).Msg("entry box forgotten")
 		delete(m.silentSince, box)
-		delete(m.known, box)
+		delete(m.records, box)
 		m.store.Purge(member.KeyPrefix + string(box))
 		m.sorted = nil
 		m.notify()
@@ -168,50 +168,50 @@
 
 // All returns the records of all entry boxes, in the order of their names, this box and silent
 // ones included. They must not be changed.
-func (m *Members) All() []member.Record {
+func (m *Membership) All() []member.Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.sorted == nil {
-		m.sorted = slices.SortedFunc(maps.Values(m.known), func(a, b member.Record) int { return strings.Compare(string(a.Box), string(b.Box)) })
+		m.sorted = slices.SortedFunc(maps.Values(m.records), func(a, b member.Record) int { return strings.Compare(string(a.Box), string(b.Box)) })
 	}
 	return m.sorted
 }
 
 // Own returns the record of this box.
-func (m *Members) Own() member.Record {
+func (m *Membership) Own() member.Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.own
 }
 
 // Record returns what is known of one box.
-func (m *Members) Record(box member.BoxID) (record member.Record, ok bool) {
+func (m *Membership) Record(box member.BoxID) (record member.Record, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	record, ok = m.known[box]
+	record, ok = m.records[box]
 	return record, ok
 }
 
 // Changed returns a channel that is closed at the next change.
-func (m *Members) Changed() <-chan struct{} {
+func (m *Membership) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.changed
 }
 
-// Up returns how many entry boxes there are that are not silent, at least this one.
-func (m *Members) Up() int {
+// UpCount returns how many entry boxes there are that are not silent, at least this one.
+func (m *Membership) UpCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return max(1, len(m.known)-len(m.silentSince))
+	return max(1, len(m.records)-len(m.silentSince))
 }
 
 // sampleSize is how many entry boxes an agent is told to choose from.
 const sampleSize = 8
 
-// Sample returns the addresses of some entry boxes, drawn anew each time so that agents spread
+// SampleAddresses returns the addresses of some entry boxes, drawn anew each time so that agents spread
 // over all of them: of a region if there are any, else of all.
-func (m *Members) Sample(region member.Region) []string {
+func (m *Membership) SampleAddresses(region member.Region) []string {
 	var near, far []string
 	for _, record := range m.All() {
 		switch {
@@ -222,19 +222,19 @@
 			far = append(far, string(record.Peers))
 		}
 	}
-	if len(near) < sampleLeast {
+	if len(near) < minSampleRegional {
 		near = append(near, far...)
 	}
 	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
 	return near[:min(len(near), sampleSize)]
 }
 
-// sampleLeast is how many entry boxes of its region suffice for an agent.
-const sampleLeast = 3
+// minSampleRegional is how many entry boxes of its region suffice for an agent.
+const minSampleRegional = 3
 
 // memberCursor is how far the receiver of one stream was told the records.
 type memberCursor struct {
-	members *Members
+	membership *Membership
 	// all is set for one that is told every record, and not only this box's own.
 	all    bool
 	cursor state.Cursor
@@ -244,17 +244,17 @@
 // next returns the records that the receiver does not know yet.
 func (c *memberCursor) next() []state.Item {
 	if c.all {
-		batch := c.members.store.Since(c.cursor, factsLimit)
+		batch := c.membership.store.Since(c.cursor, maxBatchItems)
 		c.cursor = batch.Next
 		return batch.Items
 	}
-	own := c.members.Own()
+	own := c.membership.Own()
 	if own.Version() == c.own {
 		return nil
 	}
 	item, err := own.Item()
 	if err != nil {
-		c.members.log.Error().Err(err).Msg("own record not told")
+		c.membership.log.Error().Err(err).Msg("own record not told")
 		return nil
 	}
 	c.own = own.Version()
