--- a/cmd/cinderslip/client.go
+++ b/cmd/cinderslip/client.go
@@ -118,14 +118,14 @@
 	return withCode(exitFailed, problem)
 }
 
-func (c *client) table(ctx context.Context) (daemon.TableAnswer, error) {
-	var answer daemon.TableAnswer
+func (c *client) table(ctx context.Context) (daemon.TableResponse, error) {
+	var answer daemon.TableResponse
 	err := c.call(ctx, http.MethodGet, "/v1/table", nil, nil, &answer)
 	return answer, err
 }
 
-func (c *client) status(ctx context.Context) (daemon.StatusAnswer, error) {
-	var answer daemon.StatusAnswer
+func (c *client) status(ctx context.Context) (daemon.StatusResponse, error) {
+	var answer daemon.StatusResponse
 	err := c.call(ctx, http.MethodGet, "/v1/status", nil, nil, &answer)
 	return answer, err
 }
@@ -147,15 +147,15 @@
 	return record, err == nil, err
 }
 
-func (c *client) patch(ctx context.Context, base table.Revision, patch daemon.Patch) (daemon.PatchAnswer, error) {
-	var answer daemon.PatchAnswer
+func (c *client) patch(ctx context.Context, base table.Revision, patch daemon.TablePatch) (daemon.PatchResponse, error) {
+	var answer daemon.PatchResponse
 	header := http.Header{"If-Match": []string{fmt.Sprintf("%q", fmt.Sprint(base))}}
 	err := c.call(ctx, http.MethodPatch, "/v1/table", header, patch, &answer)
 	return answer, err
 }
 
-func (c *client) entries(ctx context.Context, service string) (daemon.EntriesAnswer, error) {
-	var answer daemon.EntriesAnswer
+func (c *client) entries(ctx context.Context, service string) (daemon.EntriesResponse, error) {
+	var answer daemon.EntriesResponse
 	err := c.call(ctx, http.MethodGet, "/v1/entries?service="+url.QueryEscape(service), nil, nil, &answer)
 	return answer, err
 }
--- a/cmd/cinderslip/rollout.go
+++ b/cmd/cinderslip/rollout.go
@@ -56,14 +56,14 @@
 }
 
 // copiesOf joins what the plan wants with what the boxes say.
-func copiesOf(answer daemon.StatusAnswer) []boxCopy {
+func copiesOf(answer daemon.StatusResponse) []boxCopy {
 	records := make(map[member.BoxID]member.Record, len(answer.Boxes))
 	for _, record := range answer.Boxes {
 		records[record.Box] = record
 	}
 	var copies []boxCopy
-	for _, wanted := range answer.Wanted {
-		for _, w := range wanted.Weights {
+	for _, wanted := range answer.Desired {
+		for _, w := range wanted.Versions {
 			copies = append(copies, boxCopy{box: wanted.Box, Copy: copyOn(records[wanted.Box], w)})
 		}
 	}
@@ -97,7 +97,7 @@
 	live, boxes int
 }
 
-func progressOf(answer daemon.StatusAnswer) map[string]progress {
+func progressOf(answer daemon.StatusResponse) map[string]progress {
 	all := make(map[string]progress)
 	for _, copied := range copiesOf(answer) {
 		name := fmt.Sprintf("%s@%s", copied.Model, copied.Version)
@@ -118,7 +118,7 @@
 
 // isPlanned reports whether the plan takes in the whole table in force, with
 // every version that it names.
-func isPlanned(answer daemon.StatusAnswer) bool {
+func isPlanned(answer daemon.StatusResponse) bool {
 	for _, row := range answer.Rows {
 		if row.Plan.Target != row.Version || row.Plan.WaitReason != "" {
 			return false
@@ -128,7 +128,7 @@
 }
 
 // watch draws a bar for each version until all are live.
-func (r *rollout) watch(env *environment, answer daemon.StatusAnswer) error {
+func (r *rollout) watch(env *environment, answer daemon.StatusResponse) error {
 	container := mpb.NewWithContext(env.ctx, mpb.WithOutput(env.stdout), mpb.WithAutoRefresh())
 	bars := make(map[string]*mpb.Bar)
 	var current map[string]progress
--- a/cmd/cinderslip/table.go
+++ b/cmd/cinderslip/table.go
@@ -77,8 +77,8 @@
 	Wait   time.Duration `long:"wait" value-name:"TIME" default:"10s" description:"how long to look for an edit whose answer was lost"`
 }
 
-func (o *editOptions) patch(changes []cells.Change) daemon.Patch {
-	patch := daemon.Patch{ID: cells.EditID(o.ID), Author: o.Author, Reason: o.Reason, Changes: changes}
+func (o *editOptions) patch(changes []cells.Change) daemon.TablePatch {
+	patch := daemon.TablePatch{ID: cells.EditID(o.ID), Author: o.Author, Reason: o.Reason, Changes: changes}
 	if patch.ID == "" {
 		patch.ID = cells.EditID(rand.Text())
 	}
--- a/internal/daemon/admit.go
+++ b/internal/daemon/admission.go
@@ -14,14 +14,14 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// adjust follows the view with the number of places and the weights of groups.
-func (c *Callers) adjust(ctx context.Context) {
+// followView follows the view with the number of places and the weights of groups.
+func (c *CallerServer) followView(ctx context.Context) {
 	generation := uint64(math.MaxUint64)
 	for {
 		changed := c.view.Changed()
 		if next := c.view.ShareGeneration(); next != generation {
 			generation = next
-			c.adjustAll()
+			c.updateAdmissions()
 		}
 		select {
 		case <-ctx.Done():
@@ -31,39 +31,39 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.clock.After(adjustGap):
+		case <-c.clock.After(admissionUpdateDelay):
 		}
 	}
 }
 
-// adjustGap gathers changes that come close together.
-const adjustGap = 100 * time.Millisecond
+// admissionUpdateDelay gathers changes that come close together.
+const admissionUpdateDelay = 100 * time.Millisecond
 
-func (c *Callers) adjustAll() {
+func (c *CallerServer) updateAdmissions() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for service, admission := range c.admissions {
-		c.adjustOne(service, admission)
+		c.updateAdmission(service, admission)
 	}
 }
 
-// adjustOne gives an admission its places and the weights of its groups.
-func (c *Callers) adjustOne(service member.Service, admission *route.Admission) {
+// updateAdmission gives an admission its places and the weights of its groups.
+func (c *CallerServer) updateAdmission(service member.Service, admission *route.Admission) {
 	versions := make(map[table.ModelVersion]bool)
-	for key, row := range c.view.PlanRows() {
+	for key, row := range c.view.RowPlans() {
 		if member.Service(key.Model) == service {
 			admission.SetWeight(key.Group, max(row.Share, minimumWeight))
 			versions[row.Serving] = true
 		}
 	}
-	admission.SetSlots(c.places(service, versions))
+	admission.SetSlots(c.slots(service, versions))
 }
 
 // minimumWeight keeps a group with a share of 0 from dividing by 0.
 const minimumWeight = 1e-3
 
-// places divides the replicas' places among the entry boxes of the region.
-func (c *Callers) places(service member.Service, versions map[table.ModelVersion]bool) int {
+// slots divides the replicas' places among the entry boxes of the region.
+func (c *CallerServer) slots(service member.Service, versions map[table.ModelVersion]bool) int {
 	replicas := c.view.Router().Count(route.ServiceVersion{Service: service})
 	for version := range versions {
 		replicas += c.view.Router().Count(route.ServiceVersion{Service: service, Version: version})
@@ -74,13 +74,13 @@
 
 // admission returns the queue of a service. One that is asked for the first time
 // gets its places at once: nothing may change in the view for a long time.
-func (c *Callers) admission(service member.Service) *route.Admission {
+func (c *CallerServer) admission(service member.Service) *route.Admission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	held, ok := c.admissions[service]
 	if !ok {
 		held = route.NewAdmission(0, c.options.QueuePerGroup)
-		c.adjustOne(service, held)
+		c.updateAdmission(service, held)
 		c.admissions[service] = held
 	}
 	return held
@@ -90,7 +90,7 @@
 const framesPerRequest = 100
 
 // admit waits for a place and runs the request in it.
-func (c *Callers) admit(ctx context.Context, x *exchange, place route.ServiceVersion) {
+func (c *CallerServer) admit(ctx context.Context, x *exchange, place route.ServiceVersion) {
 	admission, group := c.admission(x.service), c.queueGroup(x)
 	if c.view.Router().Count(place) == 0 {
 		c.refuse(x, refusal{reasonNoBox, fmt.Sprintf("no box has %s %s live", x.service, place.Version), time.Second})
@@ -104,7 +104,7 @@
 		if err == nil {
 			slot.Release(0, c.clock.Now())
 		}
-		c.finish(x, outcomeCallerGone)
+		c.recordOutcome(x, outcomeCallerGone)
 		return
 	case errors.Is(err, route.ErrQueueFull):
 		c.refuse(x, refusal{reasonQueueFull, err.Error(), admission.RetryAfter(group)})
@@ -116,11 +116,11 @@
 	defer func() { slot.Release(float64(x.frames.Load())/framesPerRequest, c.clock.Now()) }()
 	// The version is pinned only now: while the request waited, another one may
 	// have come into force.
-	place, why := c.place(x)
+	place, why := c.resolveVersion(x)
 	if why != nil {
 		c.refuse(x, *why)
 		return
 	}
 	x.version = place.Version
-	c.run(ctx, x, place)
+	c.runAttempts(ctx, x, place)
 }
--- a/internal/daemon/gate.go
+++ b/internal/daemon/backendproxy.go
@@ -22,73 +22,73 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// leaveNotice is within what time a box that is leaving gets nothing new.
-const leaveNotice = 2 * time.Second
+// defaultDrainDelay is within what time a box that is leaving gets nothing new.
+const defaultDrainDelay = 2 * time.Second
 
-// onceWindow is how long an agent remembers the ids of requests.
-const onceWindow = 10 * time.Minute
+// dedupWindow is how long an agent remembers the ids of requests.
+const dedupWindow = 10 * time.Minute
 
-// Gate is the last check before a backend server: right incarnation, version
+// BackendProxy is the last check before a backend server: right incarnation, version
 // live, box not leaving, and not run before. It then passes the request on.
-type Gate struct {
+type BackendProxy struct {
 	clock   clockwork.Clock
 	log     zerolog.Logger
 	metrics *Metrics
 	client  *http.Client
-	// fresh opens a connection for each request. The common client may send a
+	// noReuseClient opens a connection for each request. The common client may send a
 	// request without a body again by itself when a kept connection turns out
 	// to be closed; a request that may not be repeated must not go that way.
-	fresh    *http.Client
-	engine   string
-	services map[member.Service]string
-	peers    *Peers
-	record   func() member.Record
-	once     *route.DedupRegistry
+	noReuseClient *http.Client
+	engineURL     string
+	serviceURLs   map[member.Service]string
+	peers         *PeerPool
+	record        func() member.Record
+	dedup         *route.DedupRegistry
 
 	mu sync.Mutex
-	// notice is how long a box that is leaving goes on refusing.
-	notice   time.Duration
-	leaving  bool
-	versions map[route.ServiceVersion]*gateVersion
-	running  int
+	// drainDelay is how long a box that is leaving goes on refusing.
+	drainDelay time.Duration
+	leaving    bool
+	versions   map[route.ServiceVersion]*versionState
+	running    int
 	// idle is closed when a Stop that waits sees the last request end.
 	idle chan struct{}
 }
 
-// gateVersion is a version that may be asked for, with its requests in progress.
-type gateVersion struct {
-	open    bool
-	running int
+// versionState is a version that may be asked for, with its requests in progress.
+type versionState struct {
+	accepting bool
+	running   int
 	// drained is closed when a Close that waits sees the last request end.
 	drained chan struct{}
 }
 
-// NewGate returns a gate that refuses everything until Open.
-func NewGate(engine string, services map[member.Service]string, peers *Peers, record func() member.Record,
+// NewBackendProxy returns a gate that refuses everything until Open.
+func NewBackendProxy(engine string, services map[member.Service]string, peers *PeerPool, record func() member.Record,
 	clock clockwork.Clock, log zerolog.Logger, metrics *Metrics,
-) *Gate {
-	g := &Gate{
+) *BackendProxy {
+	g := &BackendProxy{
 		clock: clock, log: log, metrics: metrics,
-		client: newBackendClient(false), fresh: newBackendClient(true),
-		engine: engine, services: services, peers: peers, record: record,
-		once:     route.NewDedupRegistry(onceWindow),
-		versions: make(map[route.ServiceVersion]*gateVersion),
-		notice:   leaveNotice,
+		client: newBackendClient(false), noReuseClient: newBackendClient(true),
+		engineURL: engine, serviceURLs: services, peers: peers, record: record,
+		dedup:      route.NewDedupRegistry(dedupWindow),
+		versions:   make(map[route.ServiceVersion]*versionState),
+		drainDelay: defaultDrainDelay,
 	}
 	for service := range services {
-		g.Open(route.ServiceVersion{Service: service})
+		g.Enable(route.ServiceVersion{Service: service})
 	}
 	return g
 }
 
-// backendConnections bounds the unused connections kept to one backend server.
-const backendConnections = 64
+// backendIdleConns bounds the unused connections kept to one backend server.
+const backendIdleConns = 64
 
 func newBackendClient(fresh bool) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			DisableCompression: true, DisableKeepAlives: fresh,
-			MaxIdleConnsPerHost: backendConnections, IdleConnTimeout: idleTime,
+			MaxIdleConnsPerHost: backendIdleConns, IdleConnTimeout: idleConnTimeout,
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -96,16 +96,16 @@
 }
 
 // String returns the service's name.
-func (g *Gate) String() string { return "gate" }
+func (g *BackendProxy) String() string { return "gate" }
 
 // Stop refuses new requests, long enough for every entry box to hear that the
 // box is leaving, and waits for those in progress.
-func (g *Gate) Stop(ctx context.Context) error {
+func (g *BackendProxy) Stop(ctx context.Context) error {
 	g.mu.Lock()
 	g.leaving = true
 	g.mu.Unlock()
 	select {
-	case <-g.clock.After(g.notice):
+	case <-g.clock.After(g.drainDelay):
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
@@ -128,32 +128,32 @@
 	}
 }
 
-// Open lets requests for a place through.
-func (g *Gate) Open(place route.ServiceVersion) {
+// Enable lets requests for a place through.
+func (g *BackendProxy) Enable(place route.ServiceVersion) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.versions[place] = &gateVersion{open: true}
+	g.versions[place] = &versionState{accepting: true}
 }
 
-// Shut refuses new requests for a place; those in progress go on.
-func (g *Gate) Shut(place route.ServiceVersion) {
+// Disable refuses new requests for a place; those in progress go on.
+func (g *BackendProxy) Disable(place route.ServiceVersion) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if held, ok := g.versions[place]; ok {
-		held.open = false
+		held.accepting = false
 	}
 }
 
-// Close refuses new requests for a place and waits until those in progress are
+// Drain refuses new requests for a place and waits until those in progress are
 // done. It reports whether they are.
-func (g *Gate) Close(ctx context.Context, place route.ServiceVersion) bool {
+func (g *BackendProxy) Drain(ctx context.Context, place route.ServiceVersion) bool {
 	g.mu.Lock()
 	held, ok := g.versions[place]
 	if !ok {
 		g.mu.Unlock()
 		return true
 	}
-	held.open = false
+	held.accepting = false
 	if held.running == 0 {
 		delete(g.versions, place)
 		g.mu.Unlock()
@@ -173,9 +173,9 @@
 	}
 }
 
-// enter checks a request and counts it. The refusal is NONE if it may run; then
+// admit checks a request and counts it. The refusal is NONE if it may run; then
 // leave must be called once.
-func (g *Gate) enter(head *wire.RequestHead) (leave func(), refusal wire.Refusal, detail string) {
+func (g *BackendProxy) admit(head *wire.RequestHead) (leave func(), refusal wire.Refusal, detail string) {
 	record := g.record()
 	place := route.ServiceVersion{Service: member.Service(head.Service), Version: table.ModelVersion(head.Version)}
 	g.mu.Lock()
@@ -186,10 +186,10 @@
 		return nil, wire.Refusal_REFUSAL_INCARNATION, fmt.Sprintf("this is incarnation %d", record.Incarnation)
 	case g.leaving:
 		return nil, wire.Refusal_REFUSAL_LEAVING, "the box is leaving"
-	case !ok || !held.open:
+	case !ok || !held.accepting:
 		return nil, wire.Refusal_REFUSAL_VERSION, fmt.Sprintf("%s %s is not live here", head.Service, head.Version)
 	}
-	switch g.once.Start(route.RequestID(head.RequestId), route.AttemptID(head.Attempt), head.Repeatable, g.clock.Now()) {
+	switch g.dedup.Start(route.RequestID(head.RequestId), route.AttemptID(head.Attempt), head.Repeatable, g.clock.Now()) {
 	case route.StartDuplicate:
 		return nil, wire.Refusal_REFUSAL_DUPLICATE, "the request id ran before"
 	case route.StartSettled:
@@ -198,15 +198,15 @@
 	}
 	held.running++
 	g.running++
-	return func() { g.leave(held) }, wire.Refusal_REFUSAL_NONE, ""
+	return func() { g.done(held) }, wire.Refusal_REFUSAL_NONE, ""
 }
 
-func (g *Gate) leave(held *gateVersion) {
+func (g *BackendProxy) done(held *versionState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	held.running--
 	g.running--
-	if !held.open && held.running == 0 && held.drained != nil {
+	if !held.accepting && held.running == 0 && held.drained != nil {
 		close(held.drained)
 		held.drained = nil
 	}
@@ -216,23 +216,23 @@
 	}
 }
 
-func (g *Gate) load() *wire.Load {
+func (g *BackendProxy) load() *wire.Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return &wire.Load{Running: uint32(g.running)}
 }
 
 // Settle tells whether an attempt was started; one that was not never will be.
-func (g *Gate) Settle(_ context.Context, request *wire.SettleRequest) (*wire.SettleResponse, error) {
+func (g *BackendProxy) Settle(_ context.Context, request *wire.SettleRequest) (*wire.SettleResponse, error) {
 	if request.Incarnation != uint64(g.record().Incarnation) {
 		return &wire.SettleResponse{Known: false}, nil
 	}
-	started := g.once.Settle(route.AttemptID(request.Attempt), g.clock.Now())
+	started := g.dedup.Settle(route.AttemptID(request.Attempt), g.clock.Now())
 	return &wire.SettleResponse{Known: true, Started: started}, nil
 }
 
 // Serve takes one request from an entry box.
-func (g *Gate) Serve(stream wire.DRPCBackend_ServeStream) error {
+func (g *BackendProxy) Serve(stream wire.DRPCBackend_ServeStream) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return err
@@ -240,51 +240,51 @@
 	if first.Head == nil {
 		return errors.New("first frame has no head")
 	}
-	leave, refusal, detail := g.enter(first.Head)
+	leave, refusal, detail := g.admit(first.Head)
 	if refusal == wire.Refusal_REFUSAL_NONE {
-		if refusal, detail = g.claim(stream.Context(), first.Head); refusal != wire.Refusal_REFUSAL_NONE {
+		if refusal, detail = g.claimAtWitness(stream.Context(), first.Head); refusal != wire.Refusal_REFUSAL_NONE {
 			leave()
 		}
 	}
 	if refusal != wire.Refusal_REFUSAL_NONE {
 		g.metrics.gateRequests.WithLabelValues(refusalLabel(refusal)).Inc()
-		return g.refuse(stream, first.Head, refusal, detail)
+		return g.sendRefusal(stream, first.Head, refusal, detail)
 	}
 	defer leave()
-	return g.pass(stream, first)
+	return g.forward(stream, first)
 }
 
 func refusalLabel(refusal wire.Refusal) string {
 	return strings.ToLower(strings.TrimPrefix(refusal.String(), "REFUSAL_"))
 }
 
-func (g *Gate) refuse(stream wire.DRPCBackend_ServeStream, head *wire.RequestHead, refusal wire.Refusal, detail string) error {
+func (g *BackendProxy) sendRefusal(stream wire.DRPCBackend_ServeStream, head *wire.RequestHead, refusal wire.Refusal, detail string) error {
 	return stream.Send(&wire.ServeResponse{RequestId: head.RequestId, Refusal: refusal, Detail: detail, Load: g.load()})
 }
 
-// pass sends the request to the backend server and its answer back.
-func (g *Gate) pass(stream wire.DRPCBackend_ServeStream, first *wire.ServeRequest) error {
+// forward sends the request to the backend server and its answer back.
+func (g *BackendProxy) forward(stream wire.DRPCBackend_ServeStream, first *wire.ServeRequest) error {
 	head := first.Head
-	request, err := g.request(stream, first)
+	request, err := g.newBackendRequest(stream, first)
 	if err != nil {
-		return g.fail(stream, head, err)
+		return g.sendFailure(stream, head, err)
 	}
 	client := g.client
 	if !head.Repeatable && request.Body == http.NoBody {
-		client = g.fresh
+		client = g.noReuseClient
 	}
 	response, err := client.Do(request)
 	if err != nil {
 		if neverConnected(err) {
-			g.once.Abandon(route.RequestID(head.RequestId), route.AttemptID(head.Attempt), g.clock.Now())
-			g.release(head)
+			g.dedup.Abandon(route.RequestID(head.RequestId), route.AttemptID(head.Attempt), g.clock.Now())
+			g.releaseClaims(head)
 			g.metrics.gateRequests.WithLabelValues(refusalLabel(wire.Refusal_REFUSAL_UNREACHABLE)).Inc()
-			return g.refuse(stream, head, wire.Refusal_REFUSAL_UNREACHABLE, err.Error())
+			return g.sendRefusal(stream, head, wire.Refusal_REFUSAL_UNREACHABLE, err.Error())
 		}
-		return g.fail(stream, head, err)
+		return g.sendFailure(stream, head, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	return g.answer(stream, head, response)
+	return g.sendResponse(stream, head, response)
 }
 
 // neverConnected reports that no connection was opened, so that the backend
@@ -294,16 +294,16 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func (g *Gate) fail(stream wire.DRPCBackend_ServeStream, head *wire.RequestHead, err error) error {
+func (g *BackendProxy) sendFailure(stream wire.DRPCBackend_ServeStream, head *wire.RequestHead, err error) error {
 	g.metrics.gateRequests.WithLabelValues("failed").Inc()
 	return stream.Send(&wire.ServeResponse{RequestId: head.RequestId, Failed: true, Detail: err.Error(), Load: g.load()})
 }
 
-func (g *Gate) request(stream wire.DRPCBackend_ServeStream, first *wire.ServeRequest) (*http.Request, error) {
+func (g *BackendProxy) newBackendRequest(stream wire.DRPCBackend_ServeStream, first *wire.ServeRequest) (*http.Request, error) {
 	head := first.Head
-	base := g.services[member.Service(head.Service)]
+	base := g.serviceURLs[member.Service(head.Service)]
 	if head.Version != "" {
-		base = g.engine
+		base = g.engineURL
 	}
 	var body io.Reader = http.NoBody
 	switch {
@@ -347,7 +347,7 @@
 		}
 		frame, err := b.stream.Recv()
 		if err != nil {
-			return 0, fmt.Errorf("reading the request's body: %w", cutError(err))
+			return 0, fmt.Errorf("reading the request's body: %w", unexpectedEOF(err))
 		}
 		b.rest = frame.Body
 		b.ended = frame.End
@@ -357,12 +357,12 @@
 	return n, nil
 }
 
-// answerBuffers keeps the buffers through which answers pass.
-var answerBuffers = sync.Pool{New: func() any { return new([pieceSize]byte) }}
+// responseBuffers keeps the buffers through which answers pass.
+var responseBuffers = sync.Pool{New: func() any { return new([bodyChunkSize]byte) }}
 
-// answer sends the backend server's answer in frames; the last one says whether
+// sendResponse sends the backend server's answer in frames; the last one says whether
 // the answer is whole.
-func (g *Gate) answer(stream wire.DRPCBackend_ServeStream, head *wire.RequestHead, response *http.Response) error {
+func (g *BackendProxy) sendResponse(stream wire.DRPCBackend_ServeStream, head *wire.RequestHead, response *http.Response) error {
 	frame := &wire.ServeResponse{
 		RequestId: head.RequestId,
 		Head: &wire.AnswerHead{
@@ -370,8 +370,8 @@
 			Headers: headersToWire(response.Header, response.Header.Values("Connection")),
 		},
 	}
-	buffer, _ := answerBuffers.Get().(*[pieceSize]byte)
-	defer answerBuffers.Put(buffer)
+	buffer, _ := responseBuffers.Get().(*[bodyChunkSize]byte)
+	defer responseBuffers.Put(buffer)
 	for received := int64(0); ; {
 		n, err := response.Body.Read(buffer[:])
 		frame.Body = buffer[:n]
@@ -386,7 +386,7 @@
 			if frame.Failed {
 				frame.Detail = err.Error()
 			}
-			g.metrics.gateRequests.WithLabelValues(answerLabel(frame)).Inc()
+			g.metrics.gateRequests.WithLabelValues(responseLabel(frame)).Inc()
 			return stream.Send(frame)
 		}
 		if err := stream.Send(frame); err != nil {
@@ -397,7 +397,7 @@
 	}
 }
 
-func answerLabel(frame *wire.ServeResponse) string {
+func responseLabel(frame *wire.ServeResponse) string {
 	if frame.End {
 		return "answered"
 	}
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -36,29 +36,29 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// countedPeers counts the bytes that cross its connections, both ways.
-func countedPeers(counter *atomic.Int64) *Peers {
-	p := NewPeers()
+// newCountingPeerPool counts the bytes that cross its connections, both ways.
+func newCountingPeerPool(counter *atomic.Int64) *PeerPool {
+	p := NewPeerPool()
 	open := p.dial
 	p.dial = func(ctx context.Context, address member.Address) (net.Conn, error) {
 		conn, err := open(ctx, address)
-		return &countedConn{conn, counter}, err
+		return &countingConn{conn, counter}, err
 	}
 	return p
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c *countedConn) Read(data []byte) (int, error) {
+func (c *countingConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c *countedConn) Write(data []byte) (int, error) {
+func (c *countingConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -111,7 +111,7 @@
 			for b.Loop() {
 				before := heapInUse()
 				store := state.NewStore(1)
-				view := NewView(store, "kita", quiet())
+				view := NewView(store, "kita", nopLogger())
 				store.Apply(items, state.OriginRemote)
 				for len(view.Members()) < agents {
 					time.Sleep(time.Millisecond)
@@ -135,7 +135,7 @@
 // What one change of a box's record costs an entry box that reads it.
 func BenchmarkViewApply(b *testing.B) {
 	items := benchItems(b, 12_000, 2_000)
-	view := NewView(state.NewStore(1), "kita", quiet())
+	view := NewView(state.NewStore(1), "kita", nopLogger())
 	defer func() { _ = view.Stop(context.Background()) }()
 	view.apply(items)
 	record := benchRecord(7, member.RoleAgent)
@@ -153,10 +153,10 @@
 // One heartbeat, both ends of it in this process.
 func BenchmarkHeartbeat(b *testing.B) {
 	store := state.NewStore(1)
-	view := NewView(store, "kita", quiet())
-	peers := NewPeers()
-	replica := NewReplica(store, peers, clockwork.NewRealClock(), quiet(), noLinks)
-	monitor := NewMonitor("", view, replica, peers, clockwork.NewRealClock(), quiet(), NewMetrics(), time.Hour)
+	view := NewView(store, "kita", nopLogger())
+	peers := NewPeerPool()
+	replica := NewReplica(store, peers, clockwork.NewRealClock(), nopLogger(), noLinks)
+	monitor := NewMonitor("", view, replica, peers, clockwork.NewRealClock(), nopLogger(), NewMetrics(), time.Hour)
 	items := benchItems(b, 2_000, 100)
 	for i := range 366 {
 		item, err := benchRecord(i, member.RoleEntry).Item()
@@ -166,9 +166,9 @@
 	store.Apply(items, state.OriginRemote)
 	mux := drpcmux.New()
 	require.NoError(b, wire.DRPCRegisterMonitor(mux, monitor))
-	address, stop := benchListen(b, mux)
+	address, stop := listenBenchPeers(b, mux)
 	var bytes atomic.Int64
-	counted := countedPeers(&bytes)
+	counted := newCountingPeerPool(&bytes)
 	client := wire.NewDRPCMonitorClient(counted.Conn(address))
 	record := benchRecord(7, member.RoleAgent)
 	request := &wire.HeartbeatRequest{
@@ -192,11 +192,11 @@
 	}
 }
 
-func benchListen(b *testing.B, mux *drpcmux.Mux) (member.Address, func()) {
+func listenBenchPeers(b *testing.B, mux *drpcmux.Mux) (member.Address, func()) {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
-	server := NewPeerServer(listener, mux, quiet())
+	server := NewPeerServer(listener, mux, nopLogger())
 	return member.Address(listener.Addr().String()), func() { _ = server.Stop(context.Background()) }
 }
 
@@ -205,7 +205,7 @@
 	store   *state.Store
 	view    *View
 	replica *Replica
-	peers   *Peers
+	peers   *PeerPool
 	bytes   atomic.Int64
 	stop    func()
 }
@@ -225,8 +225,8 @@
 			e.stop()
 		}
 	}()
-	awaitEverywhere(b, entries, func(e *benchEntry) bool { return len(e.view.Members()) == count })
-	time.Sleep(2 * pullRetry)
+	waitForAll(b, entries, func(e *benchEntry) bool { return len(e.view.Members()) == count })
+	time.Sleep(2 * pullRetryDelay)
 	key := plan.BoxPrefix + "box"
 	value, err := state.Encode(plan.Assignment{Versions: []plan.PinnedVersion{{Model: "kakiwake", Version: "2026.12", Manifest: weights.Sum([]byte("m"))}}})
 	require.NoError(b, err)
@@ -241,7 +241,7 @@
 		version := state.Version{Major: change}
 		begun := time.Now()
 		entries[int(change)%count].replica.Publish(state.Item{Key: key, Version: version, Value: value})
-		awaitEverywhere(b, entries, func(e *benchEntry) bool { held, _ := e.store.Get(key); return held.Version == version })
+		waitForAll(b, entries, func(e *benchEntry) bool { held, _ := e.store.Get(key); return held.Version == version })
 		times = append(times, time.Since(begun))
 	}
 	used := cpuTime() - started
@@ -256,7 +256,7 @@
 	b.ReportMetric(float64(used)/float64(len(times)*count), "cpu-ns/change/entry")
 }
 
-func awaitEverywhere(b *testing.B, entries []*benchEntry, check func(*benchEntry) bool) {
+func waitForAll(b *testing.B, entries []*benchEntry, check func(*benchEntry) bool) {
 	b.Helper()
 	deadline := time.Now().Add(time.Minute)
 	for _, e := range entries {
@@ -288,13 +288,13 @@
 	for i := range entries {
 		e := &benchEntry{store: state.NewStore(uint64(i) + 1)}
 		e.store.Apply(records, state.OriginRemote)
-		e.view = NewView(e.store, "kita", quiet())
-		e.peers = countedPeers(&e.bytes)
+		e.view = NewView(e.store, "kita", nopLogger())
+		e.peers = newCountingPeerPool(&e.bytes)
 		overlay := NewOverlay(e.view, benchRecord(i, member.RoleEntry), func() []member.Address { return nil })
-		e.replica = NewReplica(e.store, e.peers, clockwork.NewRealClock(), quiet(), overlay.Links)
+		e.replica = NewReplica(e.store, e.peers, clockwork.NewRealClock(), nopLogger(), overlay.Links)
 		mux := drpcmux.New()
 		require.NoError(b, wire.DRPCRegisterReplica(mux, e.replica))
-		server := NewPeerServer(&countedListener{listeners[i], &e.bytes}, mux, quiet())
+		server := NewPeerServer(&countingListener{listeners[i], &e.bytes}, mux, nopLogger())
 		e.stop = func() {
 			for _, service := range []stopper{e.replica, e.view, server, e.peers} {
 				_ = service.Stop(context.Background())
@@ -305,20 +305,20 @@
 	return entries
 }
 
-type countedListener struct {
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
-	return &countedConn{conn, l.bytes}, err
+	return &countingConn{conn, l.bytes}, err
 }
 
 // One small request from entry box to backend server and back, against the same
 // request sent straight to the backend server.
 func BenchmarkRequest(b *testing.B) {
-	base, stop := benchBackend(b, echoHandler)
+	base, stop := startBenchBackend(b, echoRequest)
 	defer stop()
 	direct := &benchCaller{client: newBackendClient(false), url: base + "/path"}
 	defer direct.client.CloseIdleConnections()
@@ -343,7 +343,7 @@
 // One frame of a streamed answer on its way from backend server to caller. All
 // ends are in this process, so the figure bounds each of them from above.
 func BenchmarkStream(b *testing.B) {
-	base, stop := benchBackend(b, func(w http.ResponseWriter, _ *http.Request) {
+	base, stop := startBenchBackend(b, func(w http.ResponseWriter, _ *http.Request) {
 		controller := http.NewResponseController(w)
 		for range streamFrames {
 			_, _ = io.WriteString(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"word \"}}]}\n\n")
@@ -364,7 +364,7 @@
 // The memory of answers in progress, all ends in this process.
 func BenchmarkActiveStreams(b *testing.B) {
 	const streams = 400
-	base, stop := benchBackend(b, func(w http.ResponseWriter, r *http.Request) {
+	base, stop := startBenchBackend(b, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, "data: first\n\n")
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
@@ -390,7 +390,7 @@
 	}
 }
 
-func benchBackend(b *testing.B, handler http.HandlerFunc) (base string, stop func()) {
+func startBenchBackend(b *testing.B, handler http.HandlerFunc) (base string, stop func()) {
 	b.Helper()
 	backend := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -411,7 +411,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	_, _ = copyAll(io.Discard, response)
+	_, _ = copyBody(io.Discard, response)
 	_ = response.Body.Close()
 	return response.StatusCode
 }
@@ -420,14 +420,14 @@
 	b.Helper()
 	record := benchRecord(1, member.RoleAgent)
 	record.Services = []member.Service{"chizu"}
-	gate := NewGate("", map[member.Service]string{"chizu": backend}, nil, func() member.Record { return record }, clockwork.NewRealClock(), quiet(), NewMetrics())
+	gate := NewBackendProxy("", map[member.Service]string{"chizu": backend}, nil, func() member.Record { return record }, clockwork.NewRealClock(), nopLogger(), NewMetrics())
 	mux := drpcmux.New()
 	require.NoError(b, wire.DRPCRegisterBackend(mux, gate))
-	address, stop := benchListen(b, mux)
+	address, stop := listenBenchPeers(b, mux)
 	record.Peers = address
 	store := state.NewStore(1)
-	view := NewView(store, "kita", quiet())
-	peers := NewPeers()
+	view := NewView(store, "kita", nopLogger())
+	peers := NewPeerPool()
 	item, err := record.Item()
 	require.NoError(b, err)
 	store.Apply([]state.Item{item}, state.OriginRemote)
@@ -436,10 +436,10 @@
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
-	options := CallersOptions{Listen: listening(listener), Ready: always, Opened: func() {}, View: view, Peers: peers, Clock: clockwork.NewRealClock(), Log: quiet(), Metrics: NewMetrics(), Region: "kita"}
+	options := CallerServerOptions{Listen: fixedListener(listener), Ready: always, OnListening: func() {}, View: view, Peers: peers, Clock: clockwork.NewRealClock(), Log: nopLogger(), Metrics: NewMetrics(), Region: "kita"}
 	options.Settings.SlotsPerReplica, options.Settings.QueuePerGroup, options.Settings.RetryBodyLimit = 1000, 64, 1<<20
 	options.Settings.Deadline = 60_000_000_000
-	callers := NewCallers(options)
+	callers := NewCallerServer(options)
 	caller := &benchCaller{
 		client: newBackendClient(false), url: "http://" + listener.Addr().String() + "/v1/services/chizu/path",
 	}
--- a/internal/daemon/body.go
+++ b/internal/daemon/body.go
@@ -8,24 +8,24 @@
 	"sync"
 )
 
-// errBodySpent reports a body that is too long to be sent a second time.
-var errBodySpent = errors.New("request body was not kept for another try")
+// errBodyDiscarded reports a body that is too long to be sent a second time.
+var errBodyDiscarded = errors.New("request body was not kept for another try")
 
-// pieceSize is the size of the pieces in which a body is passed on, in bytes.
-const pieceSize = 32 << 10
+// bodyChunkSize is the size of the pieces in which a body is passed on, in bytes.
+const bodyChunkSize = 32 << 10
 
 // bodyReader reads a caller's body once and can give it to several attempts, one
 // after the other, as long as it is no longer than the limit.
 type bodyReader struct {
 	limit  int64
-	pieces chan []byte
+	chunks chan []byte
 	err    error
 
-	mu    sync.Mutex
-	kept  [][]byte
-	size  int64
-	ended bool
-	spent bool
+	mu        sync.Mutex
+	kept      [][]byte
+	size      int64
+	ended     bool
+	discarded bool
 }
 
 // newBodyReader starts to read. A short body of known length is read at once.
@@ -36,7 +36,7 @@
 		b.ended = true
 		return b, nil
 	}
-	if request.ContentLength >= 0 && request.ContentLength <= min(limit, pieceSize) {
+	if request.ContentLength >= 0 && request.ContentLength <= min(limit, bodyChunkSize) {
 		piece := make([]byte, request.ContentLength)
 		if _, err := io.ReadFull(request.Body, piece); err != nil {
 			return nil, err
@@ -45,7 +45,7 @@
 		b.ended = true
 		return b, nil
 	}
-	b.pieces = make(chan []byte)
+	b.chunks = make(chan []byte)
 	go b.pump(ctx, request.Body)
 	return b, nil
 }
@@ -53,13 +53,13 @@
 // pump hands over one piece at a time, so that a slow backend server slows the
 // caller and nothing piles up here.
 func (b *bodyReader) pump(ctx context.Context, body io.Reader) {
-	defer close(b.pieces)
+	defer close(b.chunks)
 	for {
-		piece := make([]byte, pieceSize)
+		piece := make([]byte, bodyChunkSize)
 		n, err := body.Read(piece)
 		if n > 0 {
 			select {
-			case b.pieces <- piece[:n]:
+			case b.chunks <- piece[:n]:
 			case <-ctx.Done():
 				return
 			}
@@ -73,12 +73,12 @@
 	}
 }
 
-// whole returns the body if it is short and all here, so that it can go with the
+// inline returns the body if it is short and all here, so that it can go with the
 // head; ok is false otherwise.
-func (b *bodyReader) whole() (body []byte, ok bool) {
+func (b *bodyReader) inline() (body []byte, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.ended || b.err != nil || len(b.kept) > 1 || b.spent {
+	if !b.ended || b.err != nil || len(b.kept) > 1 || b.discarded {
 		return nil, false
 	}
 	if len(b.kept) == 1 {
@@ -91,16 +91,16 @@
 func (b *bodyReader) replayable() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.spent
+	return !b.discarded
 }
 
-// piece returns the piece of an index; nil at the end. Only one attempt reads at
+// chunk returns the piece of an index; nil at the end. Only one attempt reads at
 // a time.
-func (b *bodyReader) piece(ctx context.Context, index int) ([]byte, error) {
+func (b *bodyReader) chunk(ctx context.Context, index int) ([]byte, error) {
 	b.mu.Lock()
-	if b.spent && index < len(b.kept) && b.kept[index] == nil {
+	if b.discarded && index < len(b.kept) && b.kept[index] == nil {
 		b.mu.Unlock()
-		return nil, errBodySpent
+		return nil, errBodyDiscarded
 	}
 	if index < len(b.kept) {
 		defer b.mu.Unlock()
@@ -112,7 +112,7 @@
 		return nil, b.err
 	}
 	select {
-	case piece, ok := <-b.pieces:
+	case piece, ok := <-b.chunks:
 		return b.keep(piece, ok)
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -129,7 +129,7 @@
 	b.size += int64(len(piece))
 	b.kept = append(b.kept, piece)
 	if b.size > b.limit {
-		b.spent = true
+		b.discarded = true
 		for i := range b.kept {
 			b.kept[i] = nil
 		}
--- a/internal/daemon/lister.go
+++ b/internal/daemon/boxlist.go
@@ -16,72 +16,72 @@
 )
 
 const (
-	listInterval = 5 * time.Second
-	// absentLists is in how many lists in a row a silent box must be absent
+	boxListInterval = 5 * time.Second
+	// maxAbsentLists is in how many lists in a row a silent box must be absent
 	// before it is forgotten.
-	absentLists = 2
+	maxAbsentLists = 2
 )
 
 // leavingPrefix starts the key of a hint that the platform lists a box as
 // leaving. Its version is the incarnation that it is about.
 const leavingPrefix = "leaving/"
 
-// Lister compares the platform's lagging box list with the records. A box that
+// BoxListPoller compares the platform's lagging box list with the records. A box that
 // is listed as leaving gets no new work, even if it has not said so itself; a
 // silent box that is no longer listed is forgotten.
-type Lister struct {
-	list    provider.BoxList
+type BoxListPoller struct {
+	boxList provider.BoxList
 	view    *View
 	replica *Replica
 	clock   clockwork.Clock
 	log     zerolog.Logger
 	isRelay func() bool
-	duties  *kernel.TaskGroup
+	tasks   *kernel.TaskGroup
 
-	mu      sync.Mutex
-	entries []member.Address
-	absent  map[member.BoxID]int
+	mu           sync.Mutex
+	entries      []member.Address
+	absentCounts map[member.BoxID]int
 }
 
-// NewLister reads the list once, then goes on reading it while isRelay holds.
-func NewLister(list provider.BoxList, view *View, replica *Replica, clock clockwork.Clock, log zerolog.Logger, isRelay func() bool) *Lister {
-	l := &Lister{
-		list: list, view: view, replica: replica, clock: clock, log: log, isRelay: isRelay,
-		duties: kernel.NewTaskGroup(), absent: make(map[member.BoxID]int),
+// NewBoxListPoller reads the list once, then goes on reading it while isRelay holds.
+func NewBoxListPoller(list provider.BoxList, view *View, replica *Replica, clock clockwork.Clock, log zerolog.Logger, isRelay func() bool) *BoxListPoller {
+	l := &BoxListPoller{
+		boxList: list, view: view, replica: replica, clock: clock, log: log, isRelay: isRelay,
+		tasks: kernel.NewTaskGroup(), absentCounts: make(map[member.BoxID]int),
 	}
-	l.duties.Go(l.follow)
+	l.tasks.Go(l.run)
 	return l
 }
 
 // String returns the service's name.
-func (l *Lister) String() string { return "lister" }
+func (l *BoxListPoller) String() string { return "lister" }
 
 // Stop ends reading the list.
-func (l *Lister) Stop(ctx context.Context) error { return l.duties.Stop(ctx) }
+func (l *BoxListPoller) Stop(ctx context.Context) error { return l.tasks.Stop(ctx) }
 
 // Entries returns the peer addresses of the entry boxes last listed.
-func (l *Lister) Entries() []member.Address {
+func (l *BoxListPoller) Entries() []member.Address {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.entries
 }
 
-func (l *Lister) follow(ctx context.Context) {
+func (l *BoxListPoller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if l.isRelay() {
-			l.once(ctx)
+			l.poll(ctx)
 		}
 		select {
 		case <-ctx.Done():
-		case <-l.clock.After(listInterval):
+		case <-l.clock.After(boxListInterval):
 		}
 	}
 }
 
-func (l *Lister) once(ctx context.Context) {
-	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+func (l *BoxListPoller) poll(ctx context.Context) {
+	callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
-	listed, err := l.list.List(callCtx)
+	listed, err := l.boxList.List(callCtx)
 	if err != nil {
 		l.log.Debug().Err(err).Msg("box list cannot be read")
 		return
@@ -94,16 +94,16 @@
 			entries = append(entries, box.PeerAddress)
 		}
 		if box.State == provider.ListedLeaving {
-			l.hintLeaving(box.Box)
+			l.publishLeaving(box.Box)
 		}
 	}
 	l.mu.Lock()
 	l.entries = entries
 	l.mu.Unlock()
-	l.forget(present)
+	l.deleteAbsent(present)
 }
 
-func (l *Lister) hintLeaving(box member.BoxID) {
+func (l *BoxListPoller) publishLeaving(box member.BoxID) {
 	record, ok := l.view.Member(box)
 	if !ok || record.Status != member.StatusUp {
 		return
@@ -112,17 +112,17 @@
 	l.replica.Publish(state.Item{Key: leavingPrefix + string(box), Version: state.Version{Major: uint64(record.Incarnation)}})
 }
 
-func (l *Lister) forget(present map[member.BoxID]bool) {
+func (l *BoxListPoller) deleteAbsent(present map[member.BoxID]bool) {
 	for _, record := range l.view.Members() {
 		if present[record.Box] || record.Status == member.StatusUp {
-			delete(l.absent, record.Box)
+			delete(l.absentCounts, record.Box)
 			continue
 		}
-		l.absent[record.Box]++
-		if l.absent[record.Box] < absentLists {
+		l.absentCounts[record.Box]++
+		if l.absentCounts[record.Box] < maxAbsentLists {
 			continue
 		}
-		delete(l.absent, record.Box)
+		delete(l.absentCounts, record.Box)
 		l.log.Info().Str("box", string(record.Box)).Msg("box forgotten")
 		l.replica.Publish(state.Item{
 			Key:     member.KeyPrefix + string(record.Box),
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callerserver.go
@@ -22,20 +22,20 @@
 )
 
 const (
-	// attemptLimit bounds the tries of one request.
-	attemptLimit = 4
+	// maxAttempts bounds the tries of one request.
+	maxAttempts = 4
 	// retryRatio and retryBurst bound the tries of all requests together that
 	// follow a failure; refusals that prove not-run cost nothing.
 	retryRatio = 0.2
 	retryBurst = 50
-	// headerLimit bounds a request's headers, in bytes.
-	headerLimit = 64 << 10
+	// maxHeaderBytes bounds a request's headers, in bytes.
+	maxHeaderBytes = 64 << 10
 	// headerTimeout bounds how long a caller may take to send its headers.
 	headerTimeout = 10 * time.Second
-	// connectionIdle closes connections that callers hold open without use.
-	connectionIdle = 2 * time.Minute
-	// callerEntries limits the entry boxes told to one caller.
-	callerEntries = 16
+	// httpIdleTimeout closes connections that callers hold open without use.
+	httpIdleTimeout = 2 * time.Minute
+	// maxCallerEntries limits the entry boxes told to one caller.
+	maxCallerEntries = 16
 )
 
 // servicesPath stands before a service's name in a request's path.
@@ -52,30 +52,30 @@
 	reasonBoxesFailed    = "boxes-refused"
 )
 
-// Callers answers callers over HTTP.
-type Callers struct {
-	options settings.Requests
-	region  member.Region
-	view    *View
-	clock   clockwork.Clock
-	log     zerolog.Logger
-	metrics *Metrics
-	forward *forwarder
-	budget  *route.RetryBudget
-	duties  *kernel.TaskGroup
-	server  *http.Server
-	leaving atomic.Bool
+// CallerServer answers callers over HTTP.
+type CallerServer struct {
+	options   settings.Requests
+	region    member.Region
+	view      *View
+	clock     clockwork.Clock
+	log       zerolog.Logger
+	metrics   *Metrics
+	forwarder *forwarder
+	budget    *route.RetryBudget
+	tasks     *kernel.TaskGroup
+	server    *http.Server
+	leaving   atomic.Bool
 
 	mu         sync.Mutex
 	admissions map[member.Service]*route.Admission
 }
 
-// CallersOptions are the parts that Callers works with.
-type CallersOptions struct {
+// CallerServerOptions are the parts that Callers works with.
+type CallerServerOptions struct {
 	Settings settings.Requests
 	Region   member.Region
 	View     *View
-	Peers    *Peers
+	Peers    *PeerPool
 	Clock    clockwork.Clock
 	Log      zerolog.Logger
 	Metrics  *Metrics
@@ -83,39 +83,39 @@
 	// yet would only refuse what another one could answer.
 	Listen func() (net.Listener, error)
 	Ready  func() bool
-	// Opened is called when callers are answered.
-	Opened func()
+	// OnListening is called when callers are answered.
+	OnListening func()
 }
 
-// NewCallers answers callers as soon as it is ready to.
-func NewCallers(options CallersOptions) *Callers {
-	c := &Callers{
+// NewCallerServer answers callers as soon as it is ready to.
+func NewCallerServer(options CallerServerOptions) *CallerServer {
+	c := &CallerServer{
 		options: options.Settings, region: options.Region, view: options.View,
 		clock: options.Clock, log: options.Log, metrics: options.Metrics,
-		forward:    &forwarder{peers: options.Peers, clock: options.Clock, metrics: options.Metrics},
+		forwarder:  &forwarder{peers: options.Peers, clock: options.Clock, metrics: options.Metrics},
 		budget:     route.NewRetryBudget(retryRatio, retryBurst),
-		duties:     kernel.NewTaskGroup(),
+		tasks:      kernel.NewTaskGroup(),
 		admissions: make(map[member.Service]*route.Admission),
 	}
 	router := newEcho()
 	router.Use(c.closeWhenLeaving)
-	router.GET("/v1/entries", c.entries)
+	router.GET("/v1/entries", c.getEntries)
 	router.Any(servicesPath+":service", c.serve)
 	router.Any(servicesPath+":service/*", c.serve)
 	c.server = &http.Server{
-		Handler: router, ReadHeaderTimeout: headerTimeout, IdleTimeout: connectionIdle, MaxHeaderBytes: headerLimit,
+		Handler: router, ReadHeaderTimeout: headerTimeout, IdleTimeout: httpIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
-	c.duties.Go(func(ctx context.Context) {
-		if err := c.open(ctx, options); err != nil && ctx.Err() == nil && !errors.Is(err, http.ErrServerClosed) {
+	c.tasks.Go(func(ctx context.Context) {
+		if err := c.serveWhenReady(ctx, options); err != nil && ctx.Err() == nil && !errors.Is(err, http.ErrServerClosed) {
 			c.log.Error().Err(err).Msg("callers' listener failed")
 		}
 	})
-	c.duties.Go(c.adjust)
+	c.tasks.Go(c.followView)
 	return c
 }
 
-// open waits until the process is ready, then answers until the server stops.
-func (c *Callers) open(ctx context.Context, options CallersOptions) error {
+// serveWhenReady waits until the process is ready, then answers until the server stops.
+func (c *CallerServer) serveWhenReady(ctx context.Context, options CallerServerOptions) error {
 	for {
 		changed := c.view.Changed()
 		if options.Ready() {
@@ -131,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	options.Opened()
+	options.OnListening()
 	return c.server.Serve(listener)
 }
 
@@ -154,23 +154,23 @@
 }
 
 // String returns the service's name.
-func (c *Callers) String() string { return "callers" }
+func (c *CallerServer) String() string { return "callers" }
 
 // Stop goes on answering for as long as callers may keep the box's address, then
 // finishes what is in progress. The box has announced before that it is leaving.
-func (c *Callers) Stop(ctx context.Context) error {
+func (c *CallerServer) Stop(ctx context.Context) error {
 	c.leaving.Store(true)
 	select {
 	case <-ctx.Done():
 	case <-c.clock.After(time.Duration(c.options.EntriesTTL)):
 	}
 	err := c.server.Shutdown(ctx)
-	return errors.Join(err, c.duties.Stop(ctx))
+	return errors.Join(err, c.tasks.Stop(ctx))
 }
 
 // closeWhenLeaving tells callers with each answer not to use their connection
 // again, so that none is cut off when the listener closes.
-func (c *Callers) closeWhenLeaving(next echo.HandlerFunc) echo.HandlerFunc {
+func (c *CallerServer) closeWhenLeaving(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(e echo.Context) error {
 		if c.leaving.Load() {
 			e.Response().Header().Set("Connection", "close")
@@ -179,8 +179,8 @@
 	}
 }
 
-// EntriesAnswer is what a caller keeps for a while.
-type EntriesAnswer struct {
+// EntriesResponse is what a caller keeps for a while.
+type EntriesResponse struct {
 	Service    member.Service `json:"service"`
 	TTLSeconds int            `json:"ttl_seconds"`
 	Entries    []EntryAddress `json:"entries"`
@@ -192,23 +192,23 @@
 	FailureDomain member.FailureDomain `json:"failure_domain"`
 }
 
-func (c *Callers) entries(e echo.Context) error {
+func (c *CallerServer) getEntries(e echo.Context) error {
 	service := member.Service(e.QueryParam("service"))
 	if service == "" {
 		writeProblem(e.Response(), Problem{Status: http.StatusBadRequest, Detail: "want the query parameter service"})
 		return nil
 	}
-	return e.JSON(http.StatusOK, entriesAnswer(c.view, service, c.region, time.Duration(c.options.EntriesTTL)))
+	return e.JSON(http.StatusOK, newEntriesResponse(c.view, service, c.region, time.Duration(c.options.EntriesTTL)))
 }
 
-// entriesAnswer names the entry boxes of a region, spread by a hash that differs
+// newEntriesResponse names the entry boxes of a region, spread by a hash that differs
 // from caller to caller only in the order.
-func entriesAnswer(view *View, service member.Service, region member.Region, ttl time.Duration) EntriesAnswer {
+func newEntriesResponse(view *View, service member.Service, region member.Region, ttl time.Duration) EntriesResponse {
 	entries := view.Entries(region)
 	if len(entries) == 0 {
 		entries = view.Entries("")
 	}
-	answer := EntriesAnswer{Service: service, TTLSeconds: int(ttl / time.Second), Entries: []EntryAddress{}}
+	answer := EntriesResponse{Service: service, TTLSeconds: int(ttl / time.Second), Entries: []EntryAddress{}}
 	byAddress := make(map[member.Address]member.Record, len(entries))
 	addresses := make([]member.Address, 0, len(entries))
 	for _, entry := range entries {
@@ -217,13 +217,13 @@
 			addresses = append(addresses, entry.Callers)
 		}
 	}
-	for _, address := range member.Rank(rand.Text(), addresses, callerEntries) {
+	for _, address := range member.Rank(rand.Text(), addresses, maxCallerEntries) {
 		answer.Entries = append(answer.Entries, EntryAddress{Address: address, FailureDomain: byAddress[address].FailureDomain})
 	}
 	return answer
 }
 
-func (c *Callers) serve(e echo.Context) error {
+func (c *CallerServer) serve(e echo.Context) error {
 	w, r := e.Response(), e.Request()
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
@@ -233,7 +233,7 @@
 		writeProblem(w, *problem)
 		return nil
 	}
-	place, refusal := c.place(x)
+	place, refusal := c.resolveVersion(x)
 	if refusal != nil {
 		c.refuse(x, *refusal)
 		return nil
--- a/internal/daemon/callers_test.go
+++ b/internal/daemon/callerserver_test.go
@@ -18,18 +18,18 @@
 	"github.com/cinderslip/cinderslip/pkg/state"
 )
 
-// calling is an entry box's callers' side before one gate.
-type calling struct {
-	*gated
-	callers *Callers
+// callerFixture is an entry box's callers' side before one gate.
+type callerFixture struct {
+	*proxyFixture
+	callers *CallerServer
 	base    string
 	client  *http.Client
 }
 
-func newCalling(t *testing.T, backend string, change func(*settings.Requests)) *calling {
+func newCallerFixture(t *testing.T, backend string, change func(*settings.Requests)) *callerFixture {
 	t.Helper()
-	c := &calling{gated: newGated(t, backend)}
-	n := newNode(t, 1, noLinks)
+	c := &callerFixture{proxyFixture: newProxyFixture(t, backend)}
+	n := newTestNode(t, 1, noLinks)
 	record := member.Record{
 		Box: "b", Role: member.RoleAgent, Status: member.StatusUp, Region: "kita", Peers: c.address,
 		Incarnation: testIncarnation, Services: []member.Service{"chizu"},
@@ -44,10 +44,10 @@
 	change(&loaded.Requests)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	c.callers = NewCallers(CallersOptions{
-		Listen: listening(listener), Ready: always, Opened: func() {},
-		Settings: loaded.Requests, Region: "kita", View: n.view, Peers: newTestPeers(t),
-		Clock: clockwork.NewRealClock(), Log: quiet(), Metrics: NewMetrics(),
+	c.callers = NewCallerServer(CallerServerOptions{
+		Listen: fixedListener(listener), Ready: always, OnListening: func() {},
+		Settings: loaded.Requests, Region: "kita", View: n.view, Peers: newTestPeerPool(t),
+		Clock: clockwork.NewRealClock(), Log: nopLogger(), Metrics: NewMetrics(),
 	})
 	c.client = &http.Client{Transport: &http.Transport{}}
 	t.Cleanup(func() {
@@ -59,7 +59,7 @@
 }
 
 // get sends a request with headers given as name and value in turn.
-func (c *calling) get(t *testing.T, path string, headers ...string) *http.Response {
+func (c *callerFixture) get(t *testing.T, path string, headers ...string) *http.Response {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, c.base+path, http.NoBody)
 	require.NoError(t, err)
@@ -72,24 +72,24 @@
 	return response
 }
 
-func unchanged(*settings.Requests) {}
+func keepSettings(*settings.Requests) {}
 
 // The view may not change for hours after an entry box has started.
-func TestFirstRequestOfAServiceNeedsNoChangeToComeFirst(t *testing.T) {
-	c := newCalling(t, serveHTTP(t, http.HandlerFunc(echoHandler)), unchanged)
-	time.Sleep(2 * adjustGap)
+func TestFirstRequestRunsWithoutPriorViewChange(t *testing.T) {
+	c := newCallerFixture(t, serveHTTP(t, http.HandlerFunc(echoRequest)), keepSettings)
+	time.Sleep(2 * admissionUpdateDelay)
 	response := c.get(t, "/v1/services/chizu/x%2Fy?a=%20b", headerDeadline, "5000")
 	require.Equal(t, http.StatusAccepted, response.StatusCode)
 	require.Equal(t, "b", response.Header.Get(headerBox))
 	require.NotEmpty(t, response.Header.Get(headerRequestID))
 	body := new(strings.Builder)
-	_, err := copyAll(body, response)
+	_, err := copyBody(body, response)
 	require.NoError(t, err)
 	require.Equal(t, "GET /x%2Fy?a=%20b ", body.String(), "the path is passed on as it came")
 }
 
-func TestHeadersThatMakeNoSenseAreNamed(t *testing.T) {
-	c := newCalling(t, "http://127.0.0.1:1", unchanged)
+func TestInvalidHeaderIsNamedInResponse(t *testing.T) {
+	c := newCallerFixture(t, "http://127.0.0.1:1", keepSettings)
 	for header, value := range map[string]string{
 		headerRepeatable: "maybe", headerPriority: "high", headerDeadline: "-1", headerRequestID: strings.Repeat("x", 129),
 	} {
@@ -97,13 +97,13 @@
 		require.Equal(t, http.StatusBadRequest, response.StatusCode, header)
 		require.Equal(t, problemType, response.Header.Get("Content-Type"))
 		body := new(strings.Builder)
-		_, _ = copyAll(body, response)
+		_, _ = copyBody(body, response)
 		require.Contains(t, body.String(), header)
 	}
 }
 
-func TestRequestThatIsRefusedIsToldWhenToComeBack(t *testing.T) {
-	c := newCalling(t, "http://127.0.0.1:1", unchanged)
+func TestRefusedRequestCarriesRetryAfter(t *testing.T) {
+	c := newCallerFixture(t, "http://127.0.0.1:1", keepSettings)
 	for _, path := range []string{"/v1/services/nothing/", "/v1/services/chizu/"} {
 		response := c.get(t, path)
 		require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
@@ -113,8 +113,8 @@
 }
 
 // Whatever names callers make up, what is kept for them stays bounded.
-func TestNamesThatCallersMakeUpAreCountedTogether(t *testing.T) {
-	c := newCalling(t, serveHTTP(t, http.HandlerFunc(echoHandler)), unchanged)
+func TestUnknownNamesShareOneMetricLabel(t *testing.T) {
+	c := newCallerFixture(t, serveHTTP(t, http.HandlerFunc(echoRequest)), keepSettings)
 	for i := range 20 {
 		name := fmt.Sprint("made-up-", i)
 		c.get(t, "/v1/services/chizu/", headerGroup, name)
@@ -127,7 +127,7 @@
 // that runs goes on.
 func TestFullQueueRefusesAtOnce(t *testing.T) {
 	begun, proceed := make(chan struct{}, 8), make(chan struct{})
-	c := newCalling(t, serveHTTP(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+	c := newCallerFixture(t, serveHTTP(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		begun <- struct{}{}
 		<-proceed
 	})), func(requests *settings.Requests) { requests.SlotsPerReplica, requests.QueuePerGroup = 1, 1 })
@@ -147,23 +147,23 @@
 
 // Once one attempt may have run, no refusal of a later one makes "not run" true.
 func TestOutcomeStaysUnknownOnceAnAttemptMayHaveRun(t *testing.T) {
-	c := newCalling(t, serveHTTP(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+	c := newCallerFixture(t, serveHTTP(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
-	})), unchanged)
+	})), keepSettings)
 	response := c.get(t, "/v1/services/chizu/", headerRepeatable, "true")
 	require.Equal(t, http.StatusBadGateway, response.StatusCode)
 	require.Equal(t, "unknown", response.Header.Get(headerOutcome))
 }
 
-func TestReservedAddressIsTakenButRefusesUntilItIsListenedOn(t *testing.T) {
+func TestBoundSocketRefusesConnectionsUntilListening(t *testing.T) {
 	for _, address := range []string{"127.0.0.1:0", "[::1]:0"} {
-		reserved, err := reserve(address)
+		reserved, err := bindSocket(address)
 		if err != nil && strings.HasPrefix(address, "[") {
 			t.Logf("no IPv6 here: %v", err)
 			continue
 		}
 		require.NoError(t, err)
-		_, err = reserve(reserved.address)
+		_, err = bindSocket(reserved.address)
 		require.Error(t, err, "nobody else can take it")
 		_, err = net.Dial("tcp", reserved.address)
 		require.ErrorContains(t, err, "refused")
--- a/internal/daemon/chunks.go
+++ b/internal/daemon/chunkserver.go
@@ -7,8 +7,8 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// frameSize is the size of the frames in which a chunk is sent, in bytes.
-const frameSize = 128 << 10
+// chunkFrameSize is the size of the frames in which a chunk is sent, in bytes.
+const chunkFrameSize = 128 << 10
 
 // ChunkServer gives other agents the chunks that this one holds.
 type ChunkServer struct {
@@ -18,12 +18,12 @@
 	slots chan struct{}
 }
 
-// chunkSlots is how many chunks an agent sends at once.
-const chunkSlots = 8
+// maxConcurrentChunks is how many chunks an agent sends at once.
+const maxConcurrentChunks = 8
 
 // NewChunkServer returns a server for what a store holds.
 func NewChunkServer(store *weights.MemoryStore, metrics *Metrics) *ChunkServer {
-	return &ChunkServer{store: store, metrics: metrics, slots: make(chan struct{}, chunkSlots)}
+	return &ChunkServer{store: store, metrics: metrics, slots: make(chan struct{}, maxConcurrentChunks)}
 }
 
 // Holdings tells which chunks of a version are held.
@@ -65,7 +65,7 @@
 		return err
 	}
 	for len(data) > 0 {
-		size := min(len(data), frameSize)
+		size := min(len(data), chunkFrameSize)
 		if err := stream.Send(&wire.FetchResponse{Data: data[:size]}); err != nil {
 			return err
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -56,20 +56,20 @@
 
 // Process is one running role.
 type Process struct {
-	kernel   *kernel.Registry
-	settings *settings.Settings
-	options  Options
-	metrics  *Metrics
-	peers    *Peers
-	client   *http.Client
-	heart    *Heart
-	overlay  *Overlay
-	gate     *Gate
-
-	callers   *reservation
-	operators net.Listener
-	peersAt   net.Listener
-	mux       *drpcmux.Mux
+	services     *kernel.Registry
+	settings     *settings.Settings
+	options      Options
+	metrics      *Metrics
+	peers        *PeerPool
+	client       *http.Client
+	heartbeater  *Heartbeater
+	overlay      *Overlay
+	backendProxy *BackendProxy
+
+	callerSocket     *boundSocket
+	operatorListener net.Listener
+	peerListener     net.Listener
+	mux              *drpcmux.Mux
 }
 
 // Step is one part of starting a process.
@@ -86,32 +86,32 @@
 // stopped again.
 func Start(loaded *settings.Settings, options Options) (*Process, error) {
 	p := &Process{
-		kernel: kernel.New(), settings: loaded, options: options,
+		services: kernel.New(), settings: loaded, options: options,
 		metrics: NewMetrics(), mux: drpcmux.New(),
 		client: newPlatformClient(),
 	}
 	for _, step := range steps {
-		if err := logged(runUnlessSkipped)(p, step); err != nil {
+		if err := withLogging(runUnlessSkipped)(p, step); err != nil {
 			ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 			defer cancel()
-			return nil, errors.Join(fmt.Errorf("starting %s: %w", step, err), p.kernel.Stop(ctx))
+			return nil, errors.Join(fmt.Errorf("starting %s: %w", step, err), p.services.Stop(ctx))
 		}
 	}
 	return p, nil
 }
 
-// platformConnections bounds the unused connections kept to a platform service.
-const platformConnections = 8
+// platformIdleConns bounds the unused connections kept to a platform service.
+const platformIdleConns = 8
 
 func newPlatformClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: platformConnections, IdleConnTimeout: idleTime, DisableCompression: true,
+		MaxIdleConnsPerHost: platformIdleConns, IdleConnTimeout: idleConnTimeout, DisableCompression: true,
 		DialContext: upstream.NewDialer(dialTimeout).DialContext,
 	}}
 }
 
-// stepRun runs a step; middleware wraps it.
-type stepRun func(p *Process, step Step) error
+// stepFunc runs a step; middleware wraps it.
+type stepFunc func(p *Process, step Step) error
 
 // runUnlessSkipped leaves out a step that the role does without.
 func runUnlessSkipped(p *Process, step Step) error {
@@ -121,8 +121,8 @@
 	return step.Run(p)
 }
 
-// logged writes a line for each step.
-func logged(run stepRun) stepRun {
+// withLogging writes a line for each step.
+func withLogging(run stepFunc) stepFunc {
 	return func(p *Process, step Step) error {
 		started := p.options.Clock.Now()
 		err := run(p, step)
@@ -140,37 +140,37 @@
 func (p *Process) Stop(ctx context.Context) error {
 	stopCtx, cancel := context.WithTimeout(ctx, time.Duration(p.settings.Stop.Grace))
 	defer cancel()
-	p.leave()
-	err := p.kernel.Stop(stopCtx)
+	p.announceLeaving()
+	err := p.services.Stop(stopCtx)
 	p.client.CloseIdleConnections()
 	return err
 }
 
-// leave announces that the box is leaving and waits until its monitors know.
-func (p *Process) leave() {
-	if p.heart.Record().Status == member.StatusLeaving {
+// announceLeaving announces that the box is leaving and waits until its monitors know.
+func (p *Process) announceLeaving() {
+	if p.heartbeater.Record().Status == member.StatusLeaving {
 		return
 	}
 	p.options.Log.Info().Str("box", p.settings.Box).Msg("leaving")
-	p.heart.Update(func(record *member.Record) { record.Status = member.StatusLeaving })
+	p.heartbeater.Update(func(record *member.Record) { record.Status = member.StatusLeaving })
 	ctx, cancel := context.WithTimeout(context.Background(), 2*dialTimeout)
 	defer cancel()
-	p.heart.Announce(ctx)
+	p.heartbeater.Announce(ctx)
 }
 
 // CallersAddress returns where callers are answered; empty on an agent.
 func (p *Process) CallersAddress() string {
-	if p.callers == nil {
+	if p.callerSocket == nil {
 		return ""
 	}
-	return p.callers.address
+	return p.callerSocket.address
 }
 
 // OperatorsAddress returns where operators are answered.
-func (p *Process) OperatorsAddress() string { return listenerAddress(p.operators) }
+func (p *Process) OperatorsAddress() string { return listenerAddress(p.operatorListener) }
 
 // PeersAddress returns where other processes are answered.
-func (p *Process) PeersAddress() string { return listenerAddress(p.peersAt) }
+func (p *Process) PeersAddress() string { return listenerAddress(p.peerListener) }
 
 func listenerAddress(listener net.Listener) string {
 	if listener == nil {
@@ -197,7 +197,7 @@
 	}
 }
 
-func (p *Process) entryAddresses() []member.Address {
+func (p *Process) configuredEntries() []member.Address {
 	addresses := make([]member.Address, 0, len(p.settings.Peers.Entries))
 	for _, entry := range p.settings.Peers.Entries {
 		if entry != p.PeersAddress() {
@@ -210,17 +210,17 @@
 // IsServing reports whether an entry box answers callers and has a live box for
 // every row of the table in force.
 func (p *Process) IsServing() bool {
-	view, err := kernel.Find[*View](p.kernel, "view")
+	view, err := kernel.Find[*View](p.services, "view")
 	if err != nil {
 		return false
 	}
 	rows, _ := view.Rows()
 	for _, row := range rows {
-		decided, ok := view.Row(row.Key())
+		decided, ok := view.RowPlan(row.Key())
 		place := route.ServiceVersion{Service: member.Service(row.Model), Version: decided.Serving}
 		if !ok || view.Router().Count(place) == 0 {
 			return false
 		}
 	}
-	return len(rows) > 0 && p.heart.Record().Callers != ""
+	return len(rows) > 0 && p.heartbeater.Record().Callers != ""
 }
--- a/internal/daemon/forward.go
+++ b/internal/daemon/forward.go
@@ -25,15 +25,15 @@
 type outcome int
 
 const (
-	// outcomeAnswered means that the whole answer was passed on.
-	outcomeAnswered outcome = iota
-	// outcomeNotRun means that the attempt surely did not start and never will.
-	outcomeNotRun
+	// outcomeDone means that the whole answer was passed on.
+	outcomeDone outcome = iota
+	// outcomeNotExecuted means that the attempt surely did not start and never will.
+	outcomeNotExecuted
 	// outcomeUnknown means that the attempt may have run, and nothing of its
 	// answer was passed on.
 	outcomeUnknown
-	// outcomeCut means that the answer broke off after part of it was passed on.
-	outcomeCut
+	// outcomeTruncated means that the answer broke off after part of it was passed on.
+	outcomeTruncated
 	// outcomeCallerGone means that the caller went away.
 	outcomeCallerGone
 )
@@ -43,8 +43,8 @@
 	return [...]string{"answered", "not-run", "unknown", "cut", "caller-gone"}[o]
 }
 
-// errWrongAnswer reports an answer that carries another request's id.
-var errWrongAnswer = errors.New("answer belongs to another request")
+// errResponseMismatch reports an answer that carries another request's id.
+var errResponseMismatch = errors.New("answer belongs to another request")
 
 // refusedError carries the agent's reason.
 type refusedError struct {
@@ -65,26 +65,26 @@
 	version    table.ModelVersion
 	path       string
 	repeatable bool
-	// named is set if the caller chose the id, and so can send it again.
-	named    bool
-	priority int
-	deadline time.Time
-	request  *http.Request
-	writer   http.ResponseWriter
-	body     *bodyReader
-	arrived  time.Time
+	// hasCallerID is set if the caller chose the id, and so can send it again.
+	hasCallerID bool
+	priority    int
+	deadline    time.Time
+	request     *http.Request
+	writer      http.ResponseWriter
+	body        *bodyReader
+	arrived     time.Time
 	// frames counts the frames of the answer, as a measure of the work done.
 	frames atomic.Int64
 }
 
 // forwarder sends attempts to agents.
 type forwarder struct {
-	peers   *Peers
+	peers   *PeerPool
 	clock   clockwork.Clock
 	metrics *Metrics
 }
 
-// attempt sends the request to one box. With outcomeNotRun and outcomeUnknown
+// attempt sends the request to one box. With outcomeNotExecuted and outcomeUnknown
 // nothing has been written to the caller.
 func (f *forwarder) attempt(ctx context.Context, x *exchange, target *route.Target, attempt route.AttemptID, witnesses []member.Address) (outcome, error) {
 	target.Start()
@@ -95,13 +95,13 @@
 	stream, err := wire.NewDRPCBackendClient(f.peers.Conn(target.Address)).Serve(attemptCtx)
 	if err != nil {
 		target.Failed(f.clock.Now())
-		return outcomeNotRun, err
+		return outcomeNotExecuted, err
 	}
-	first := &wire.ServeRequest{Head: f.head(x, target, attempt)}
+	first := &wire.ServeRequest{Head: f.requestHead(x, target, attempt)}
 	for _, witness := range witnesses {
 		first.Head.Witnesses = append(first.Head.Witnesses, string(witness))
 	}
-	first.Body, first.End = x.body.whole()
+	first.Body, first.End = x.body.inline()
 	if err := stream.Send(first); err != nil {
 		target.Failed(f.clock.Now())
 		return f.settle(ctx, x, target, attempt, err)
@@ -116,11 +116,11 @@
 			cancel()
 		}
 		sent <- err
-		f.watchSilence(attemptCtx, x, target, cancelCause)
+		f.abortIfStalled(attemptCtx, x, target, cancelCause)
 	}()
 	result, err := f.receive(ctx, x, target, attempt, stream)
 	cancel()
-	if cause := context.Cause(attemptCtx); result == outcomeCut && errors.Is(cause, errSilent) {
+	if cause := context.Cause(attemptCtx); result == outcomeTruncated && errors.Is(cause, errSilent) {
 		err = cause
 	}
 	bodyErr := <-sent
@@ -130,7 +130,7 @@
 	return result, err
 }
 
-func (f *forwarder) head(x *exchange, target *route.Target, attempt route.AttemptID) *wire.RequestHead {
+func (f *forwarder) requestHead(x *exchange, target *route.Target, attempt route.AttemptID) *wire.RequestHead {
 	head := &wire.RequestHead{
 		RequestId: string(x.id), Service: string(x.service), Version: string(x.version), Group: string(x.group),
 		Method: x.request.Method, Path: x.path, Headers: headersToWire(x.request.Header, x.request.Header.Values("Connection")),
@@ -148,13 +148,13 @@
 	return head
 }
 
-// silentGrace is how long an answer in progress may stand still once its box is
+// silentStallTimeout is how long an answer in progress may stand still once its box is
 // marked silent. A box that was marked wrongly goes on sending and is let go on.
-const silentGrace = 2 * time.Second
+const silentStallTimeout = 2 * time.Second
 
-// watchSilence breaks off an answer that stands still on a silent box, which
+// abortIfStalled breaks off an answer that stands still on a silent box, which
 // would otherwise keep its caller waiting for good.
-func (f *forwarder) watchSilence(ctx context.Context, x *exchange, target *route.Target, cancel context.CancelCauseFunc) {
+func (f *forwarder) abortIfStalled(ctx context.Context, x *exchange, target *route.Target, cancel context.CancelCauseFunc) {
 	select {
 	case <-ctx.Done():
 		return
@@ -164,7 +164,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.clock.After(silentGrace):
+		case <-f.clock.After(silentStallTimeout):
 		}
 		if x.frames.Load() == seen {
 			cancel(errSilent)
@@ -178,7 +178,7 @@
 
 func sendBody(ctx context.Context, body *bodyReader, stream wire.DRPCBackend_ServeClient) error {
 	for index := 0; ; index++ {
-		piece, err := body.piece(ctx, index)
+		piece, err := body.chunk(ctx, index)
 		if err != nil {
 			return fmt.Errorf("%w: %w", errCallerBody, err)
 		}
@@ -195,32 +195,32 @@
 func (f *forwarder) receive(ctx context.Context, x *exchange, target *route.Target, attempt route.AttemptID,
 	stream wire.DRPCBackend_ServeClient,
 ) (outcome, error) {
-	first, err := f.firstAnswer(ctx, x, target, stream)
+	first, err := f.firstFrame(ctx, x, target, stream)
 	if err != nil {
 		if ctx.Err() == nil {
 			target.Failed(f.clock.Now())
 		}
 		return f.settle(ctx, x, target, attempt, err)
 	}
-	f.noteLoad(target, first)
+	f.recordLoad(target, first)
 	if first.Refusal != wire.Refusal_REFUSAL_NONE {
 		_ = stream.Close()
-		return f.refused(target, first)
+		return f.refusalOutcome(target, first)
 	}
 	if first.Failed || first.Head == nil {
 		target.Failed(f.clock.Now())
 		return outcomeUnknown, fmt.Errorf("backend server gave no answer: %s", first.Detail)
 	}
 	target.Succeeded()
-	return f.passOn(ctx, x, target, stream, first)
+	return f.streamResponse(ctx, x, target, stream, first)
 }
 
 // errSilent reports a box that fell silent before it answered.
 var errSilent = errors.New("the box fell silent")
 
-// firstAnswer waits for the first frame, at most until the deadline or until the
+// firstFrame waits for the first frame, at most until the deadline or until the
 // box is marked silent.
-func (f *forwarder) firstAnswer(ctx context.Context, x *exchange, target *route.Target, stream wire.DRPCBackend_ServeClient) (*wire.ServeResponse, error) {
+func (f *forwarder) firstFrame(ctx context.Context, x *exchange, target *route.Target, stream wire.DRPCBackend_ServeClient) (*wire.ServeResponse, error) {
 	type received struct {
 		answer *wire.ServeResponse
 		err    error
@@ -239,7 +239,7 @@
 	select {
 	case got := <-arrived:
 		if got.err == nil && got.answer.RequestId != string(x.id) {
-			return nil, errWrongAnswer
+			return nil, errResponseMismatch
 		}
 		return got.answer, got.err
 	case <-expired:
@@ -251,7 +251,7 @@
 	}
 }
 
-func (f *forwarder) refused(target *route.Target, answer *wire.ServeResponse) (outcome, error) {
+func (f *forwarder) refusalOutcome(target *route.Target, answer *wire.ServeResponse) (outcome, error) {
 	err := &refusedError{refusal: answer.Refusal, detail: answer.Detail}
 	switch answer.Refusal {
 	case wire.Refusal_REFUSAL_DUPLICATE:
@@ -260,17 +260,17 @@
 	case wire.Refusal_REFUSAL_UNREACHABLE:
 		target.Failed(f.clock.Now())
 	}
-	return outcomeNotRun, err
+	return outcomeNotExecuted, err
 }
 
-func (f *forwarder) noteLoad(target *route.Target, answer *wire.ServeResponse) {
+func (f *forwarder) recordLoad(target *route.Target, answer *wire.ServeResponse) {
 	if answer.Load != nil {
 		target.ReportLoad(int(answer.Load.Running+answer.Load.Waiting), f.clock.Now())
 	}
 }
 
-// passOn writes the head and the body to the caller as they come.
-func (f *forwarder) passOn(ctx context.Context, x *exchange, target *route.Target,
+// streamResponse writes the head and the body to the caller as they come.
+func (f *forwarder) streamResponse(ctx context.Context, x *exchange, target *route.Target,
 	stream wire.DRPCBackend_ServeClient, first *wire.ServeResponse,
 ) (outcome, error) {
 	header := x.writer.Header()
@@ -282,7 +282,7 @@
 		header.Set(headerVersion, string(x.version))
 	}
 	x.writer.WriteHeader(int(first.Head.Status))
-	f.metrics.firstByte.WithLabelValues(string(x.service)).Observe(f.clock.Since(x.arrived).Seconds())
+	f.metrics.ttfbSeconds.WithLabelValues(string(x.service)).Observe(f.clock.Since(x.arrived).Seconds())
 	controller := http.NewResponseController(x.writer)
 	for answer := first; ; {
 		x.frames.Add(1)
@@ -294,13 +294,13 @@
 				_ = controller.Flush()
 			}
 		}
-		f.noteLoad(target, answer)
+		f.recordLoad(target, answer)
 		if answer.Failed {
-			return outcomeCut, fmt.Errorf("backend server broke off: %s", answer.Detail)
+			return outcomeTruncated, fmt.Errorf("backend server broke off: %s", answer.Detail)
 		}
 		if answer.End {
 			_ = stream.Close()
-			return outcomeAnswered, nil
+			return outcomeDone, nil
 		}
 		next, err := stream.Recv()
 		switch {
@@ -308,15 +308,15 @@
 			return outcomeCallerGone, ctx.Err()
 		case err != nil:
 			target.Failed(f.clock.Now())
-			return outcomeCut, cutError(err)
+			return outcomeTruncated, unexpectedEOF(err)
 		case next.RequestId != string(x.id):
-			return outcomeCut, errWrongAnswer
+			return outcomeTruncated, errResponseMismatch
 		}
 		answer = next
 	}
 }
 
-func cutError(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -330,7 +330,7 @@
 		return outcomeCallerGone, cause
 	}
 	if errors.Is(cause, errDial) {
-		return outcomeNotRun, cause
+		return outcomeNotExecuted, cause
 	}
 	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
@@ -338,7 +338,7 @@
 		RequestId: string(x.id), Attempt: string(attempt), Incarnation: uint64(target.Incarnation),
 	})
 	if err == nil && answer.Known && !answer.Started {
-		return outcomeNotRun, cause
+		return outcomeNotExecuted, cause
 	}
 	return outcomeUnknown, cause
 }
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -26,24 +26,24 @@
 		goleak.IgnoreAnyFunction("net/http.(*persistConn).writeLoop"))
 }
 
-// waitLimit bounds each wait of a test; it never judges speed.
-const waitLimit = 20 * time.Second
+// waitTimeout bounds each wait of a test; it never judges speed.
+const waitTimeout = 20 * time.Second
 
 func eventually(t *testing.T, check func() bool, what string) {
 	t.Helper()
-	require.Eventually(t, check, waitLimit, 5*time.Millisecond, what)
+	require.Eventually(t, check, waitTimeout, 5*time.Millisecond, what)
 }
 
-func quiet() zerolog.Logger { return zerolog.Nop() }
+func nopLogger() zerolog.Logger { return zerolog.Nop() }
 
-func copyAll(w io.Writer, response *http.Response) (int64, error) { return io.Copy(w, response.Body) }
+func copyBody(w io.Writer, response *http.Response) (int64, error) { return io.Copy(w, response.Body) }
 
 // listenPeers answers other processes until the test ends.
 func listenPeers(t *testing.T, mux *drpcmux.Mux) member.Address {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	server := NewPeerServer(listener, mux, quiet())
+	server := NewPeerServer(listener, mux, nopLogger())
 	t.Cleanup(func() { stopService(t, server) })
 	return member.Address(listener.Addr().String())
 }
@@ -52,14 +52,14 @@
 
 func stopService(t *testing.T, service stopper) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	require.NoError(t, service.Stop(ctx))
 }
 
-func newTestPeers(t *testing.T) *Peers {
+func newTestPeerPool(t *testing.T) *PeerPool {
 	t.Helper()
-	peers := NewPeers()
+	peers := NewPeerPool()
 	t.Cleanup(func() { stopService(t, peers) })
 	return peers
 }
@@ -71,19 +71,19 @@
 	return server.URL
 }
 
-// node is an entry box's replicated state without its listeners.
-type node struct {
+// testNode is an entry box's replicated state without its listeners.
+type testNode struct {
 	store   *state.Store
 	view    *View
 	replica *Replica
 	address member.Address
 }
 
-func newNode(t *testing.T, instance uint64, links func() Links) *node {
+func newTestNode(t *testing.T, instance uint64, links func() Links) *testNode {
 	t.Helper()
-	n := &node{store: state.NewStore(instance)}
-	n.view = NewView(n.store, "kita", quiet())
-	n.replica = NewReplica(n.store, newTestPeers(t), clockwork.NewRealClock(), quiet(), links)
+	n := &testNode{store: state.NewStore(instance)}
+	n.view = NewView(n.store, "kita", nopLogger())
+	n.replica = NewReplica(n.store, newTestPeerPool(t), clockwork.NewRealClock(), nopLogger(), links)
 	t.Cleanup(func() {
 		stopService(t, n.replica)
 		stopService(t, n.view)
@@ -95,26 +95,26 @@
 
 func always() bool { return true }
 
-// listening gives a listener that is open already.
-func listening(listener net.Listener) func() (net.Listener, error) {
+// fixedListener gives a listener that is open already.
+func fixedListener(listener net.Listener) func() (net.Listener, error) {
 	return func() (net.Listener, error) { return listener, nil }
 }
 
 // testPlatform is a key-value service and a weight source that a test can break.
 type testPlatform struct {
-	kv       *standin.KeyValue
+	kvServer *standin.KeyValue
 	registry *standin.Registry
 	client   *http.Client
-	seam     provider.KeyValue
+	kvClient provider.KeyValue
 	source   provider.WeightSource
 }
 
 func newTestPlatform(t *testing.T) *testPlatform {
 	t.Helper()
 	clock := clockwork.NewRealClock()
-	p := &testPlatform{kv: standin.NewKeyValue(clock), registry: standin.NewRegistry(clock, 64<<20), client: &http.Client{Transport: &http.Transport{}}}
+	p := &testPlatform{kvServer: standin.NewKeyValue(clock), registry: standin.NewRegistry(clock, 64<<20), client: &http.Client{Transport: &http.Transport{}}}
 	t.Cleanup(p.client.CloseIdleConnections)
-	p.seam = provider.NewKeyValue(serveHTTP(t, p.kv), p.client)
+	p.kvClient = provider.NewKeyValue(serveHTTP(t, p.kvServer), p.client)
 	p.source = provider.NewWeightSource("origin", serveHTTP(t, p.registry), p.client)
 	return p
 }
--- a/internal/daemon/tenure.go
+++ b/internal/daemon/leaseterm.go
@@ -11,63 +11,63 @@
 	"github.com/cinderslip/cinderslip/pkg/plan"
 )
 
-// tenure is one time of holding the lease.
-type tenure struct {
+// leaseTerm is one time of holding the lease.
+type leaseTerm struct {
 	epoch    uint64
 	lease    provider.LeaseID
 	sequence uint64
 	// headRevision is that of the head in the key-value service, which the next
 	// swap expects.
 	headRevision provider.Revision
-	// computed is how long the last plan took to compute.
-	computed time.Duration
+	// planDuration is how long the last plan took to compute.
+	planDuration time.Duration
 	// lost gets the reason when the lease can no longer be counted on.
 	lost chan error
-	// stop ends the renewal.
-	stop context.CancelFunc
+	// stopRenewal ends the renewal.
+	stopRenewal context.CancelFunc
 }
 
 // acquire takes the lease. It is renewed from the moment it is granted, because
 // with a slow key-value service the calls that follow take as long as a lease.
-func (p *Planner) acquire(ctx context.Context) (*tenure, error) {
+func (p *Planner) acquire(ctx context.Context) (*leaseTerm, error) {
 	sent := p.clock.Now()
 	p.metrics.keyValueCalls.WithLabelValues("lease").Inc()
-	grantCtx, cancel := context.WithTimeout(ctx, callTimeout)
+	grantCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
-	lease, err := p.kv.Grant(grantCtx, plannerLease)
+	lease, err := p.kv.Grant(grantCtx, plannerLeaseTTL)
 	if err != nil {
 		return nil, err
 	}
-	renewCtx, stop := context.WithCancel(p.duties.Context())
-	t := &tenure{lease: lease, lost: make(chan error, 1), stop: stop}
-	p.duties.Go(func(context.Context) { t.lost <- p.renew(renewCtx, lease, sent) })
-	if err := p.takeOver(ctx, t); err != nil {
+	renewCtx, stop := context.WithCancel(p.tasks.Context())
+	t := &leaseTerm{lease: lease, lost: make(chan error, 1), stopRenewal: stop}
+	p.tasks.Go(func(context.Context) { t.lost <- p.renew(renewCtx, lease, sent) })
+	if err := p.claimLease(ctx, t); err != nil {
 		p.release(t)
 		return nil, err
 	}
 	return t, nil
 }
 
-// takeOver makes this planner the holder and its epoch the newest.
-func (p *Planner) takeOver(ctx context.Context, t *tenure) error {
-	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+// claimLease makes this planner the holder and its epoch the newest.
+func (p *Planner) claimLease(ctx context.Context, t *leaseTerm) error {
+	callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
 	p.metrics.keyValueCalls.WithLabelValues("swap").Inc()
-	revision, won, err := p.kv.CompareAndSwap(callCtx, plannerKey, []byte(p.self), 0, t.lease)
+	revision, won, err := p.kv.CompareAndSwap(callCtx, plannerLeaseKey, []byte(p.self), 0, t.lease)
 	if err != nil {
 		return err
 	}
 	if !won {
-		return errDeposed
+		return errSuperseded
 	}
 	t.epoch = uint64(revision)
-	return p.claim(ctx, t)
+	return p.writeEpoch(ctx, t)
 }
 
-// claim writes the new epoch into the head, after which no plan of an older
+// writeEpoch writes the new epoch into the head, after which no plan of an older
 // epoch can win its swap.
-func (p *Planner) claim(ctx context.Context, t *tenure) error {
-	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+func (p *Planner) writeEpoch(ctx context.Context, t *leaseTerm) error {
+	callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
 	p.metrics.keyValueCalls.WithLabelValues("get").Inc()
 	entry, err := p.kv.Get(callCtx, planHeadKey)
@@ -81,18 +81,18 @@
 		}
 	}
 	if head.Epoch >= t.epoch {
-		return errDeposed
+		return errSuperseded
 	}
 	t.headRevision = entry.Revision
-	return p.swapHead(ctx, t, plan.Head{Epoch: t.epoch, Planner: p.self, Table: head.Table})
+	return p.compareAndSwapHead(ctx, t, plan.Head{Epoch: t.epoch, Planner: p.self, Table: head.Table})
 }
 
-func (p *Planner) swapHead(ctx context.Context, t *tenure, head plan.Head) error {
+func (p *Planner) compareAndSwapHead(ctx context.Context, t *leaseTerm, head plan.Head) error {
 	value, err := json.Marshal(head)
 	if err != nil {
 		return fmt.Errorf("encoding plan head: %w", err)
 	}
-	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
 	p.metrics.keyValueCalls.WithLabelValues("swap").Inc()
 	revision, won, err := p.kv.CompareAndSwap(callCtx, planHeadKey, value, t.headRevision, 0)
@@ -100,14 +100,14 @@
 		return err
 	}
 	if !won {
-		return errDeposed
+		return errSuperseded
 	}
 	t.headRevision = revision
 	return nil
 }
 
-func (p *Planner) release(t *tenure) {
-	t.stop()
+func (p *Planner) release(t *leaseTerm) {
+	t.stopRenewal()
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	if err := p.kv.Revoke(ctx, t.lease); err != nil {
@@ -122,10 +122,10 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-p.clock.After(plannerRenew):
+		case <-p.clock.After(plannerRenewInterval):
 		}
 		sent := p.clock.Now()
-		callCtx, cancel := context.WithTimeout(ctx, plannerLease-p.clock.Since(renewed))
+		callCtx, cancel := context.WithTimeout(ctx, plannerLeaseTTL-p.clock.Since(renewed))
 		p.metrics.keyValueCalls.WithLabelValues("lease").Inc()
 		err := p.kv.KeepAlive(callCtx, lease)
 		cancel()
@@ -135,7 +135,7 @@
 		case errors.Is(err, provider.ErrLeaseLost):
 			return err
 		}
-		if p.clock.Since(renewed) > plannerLease {
+		if p.clock.Since(renewed) > plannerLeaseTTL {
 			return provider.ErrLeaseLost
 		}
 	}
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -20,9 +20,9 @@
 	writer := zerolog.ConsoleWriter{
 		Out: w, NoColor: true, TimeFormat: time.RFC3339Nano, TimeLocation: time.UTC,
 		PartsOrder:      []string{zerolog.TimestampFieldName, zerolog.LevelFieldName, zerolog.MessageFieldName},
-		FormatTimestamp: pairFormat("time"),
-		FormatLevel:     pairFormat("level"),
-		FormatMessage:   pairFormat("event"),
+		FormatTimestamp: keyValueFormatter("time"),
+		FormatLevel:     keyValueFormatter("level"),
+		FormatMessage:   keyValueFormatter("event"),
 		FormatFieldValue: func(value any) string {
 			return quoteValue(fmt.Sprintf("%s", value))
 		},
@@ -30,18 +30,18 @@
 			return quoteValue(fmt.Sprintf("%s", value))
 		},
 	}
-	return zerolog.New(zerolog.SyncWriter(writer)).Level(parsed).Hook(stamp{clock})
+	return zerolog.New(zerolog.SyncWriter(writer)).Level(parsed).Hook(timestampHook{clock})
 }
 
-// stamp adds the time of the process's own clock.
-type stamp struct{ clock clockwork.Clock }
+// timestampHook adds the time of the process's own clock.
+type timestampHook struct{ clock clockwork.Clock }
 
 // Run adds the time to an event.
-func (s stamp) Run(event *zerolog.Event, _ zerolog.Level, _ string) {
+func (s timestampHook) Run(event *zerolog.Event, _ zerolog.Level, _ string) {
 	event.Str(zerolog.TimestampFieldName, s.clock.Now().UTC().Format(time.RFC3339Nano))
 }
 
-func pairFormat(key string) zerolog.Formatter {
+func keyValueFormatter(key string) zerolog.Formatter {
 	return func(value any) string {
 		if value == nil {
 			return ""
--- a/internal/daemon/logqueue.go
+++ b/internal/daemon/logqueue.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// logQueue is how many lines wait to be written; the burst of some seconds.
-	logQueue = 4096
-	// logPerSecond is how many lines are taken a second: several for each request
+	// logQueueLines is how many lines wait to be written; the burst of some seconds.
+	logQueueLines = 4096
+	// maxLogLinesPerSecond is how many lines are taken a second: several for each request
 	// that one box can serve.
-	logPerSecond = 2000
+	maxLogLinesPerSecond = 2000
 )
 
 // LogQueue writes log lines in the background, so that who logs never waits for
 // the output. Lines that come too fast or don't fit are dropped and counted; a
 // line tells of them once there is room.
 type LogQueue struct {
-	out    io.Writer
-	clock  clockwork.Clock
-	lines  chan []byte
-	done   chan struct{}
-	missed atomic.Int64
-	// Dropped is called for each line that is dropped; it may be nil.
-	Dropped func()
+	out          io.Writer
+	clock        clockwork.Clock
+	lines        chan []byte
+	done         chan struct{}
+	droppedLines atomic.Int64
+	// OnDrop is called for each line that is dropped; it may be nil.
+	OnDrop func()
 
-	mu     sync.Mutex
-	second int64
-	taken  int
-	start  time.Time
+	mu              sync.Mutex
+	currentSecond   int64
+	linesThisSecond int
+	started         time.Time
 }
 
 // NewLogQueue returns a queue that writes to an output until it is closed.
 func NewLogQueue(out io.Writer, clock clockwork.Clock) *LogQueue {
-	q := &LogQueue{out: out, clock: clock, lines: make(chan []byte, logQueue), done: make(chan struct{}), start: clock.Now()}
+	q := &LogQueue{out: out, clock: clock, lines: make(chan []byte, logQueueLines), done: make(chan struct{}), started: clock.Now()}
 	go q.drain()
 	return q
 }
@@ -63,18 +63,18 @@
 func (q *LogQueue) allow() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	second := int64(q.clock.Since(q.start) / time.Second)
-	if second != q.second {
-		q.second, q.taken = second, 0
+	second := int64(q.clock.Since(q.started) / time.Second)
+	if second != q.currentSecond {
+		q.currentSecond, q.linesThisSecond = second, 0
 	}
-	q.taken++
-	return q.taken <= logPerSecond
+	q.linesThisSecond++
+	return q.linesThisSecond <= maxLogLinesPerSecond
 }
 
 func (q *LogQueue) drop() {
-	q.missed.Add(1)
-	if q.Dropped != nil {
-		q.Dropped()
+	q.droppedLines.Add(1)
+	if q.OnDrop != nil {
+		q.OnDrop()
 	}
 }
 
@@ -84,7 +84,7 @@
 		if line == nil {
 			return
 		}
-		if missed := q.missed.Swap(0); missed > 0 {
+		if missed := q.droppedLines.Swap(0); missed > 0 {
 			_, _ = io.WriteString(q.out, "level=warn event=\"log lines dropped\" lines="+strconv.FormatInt(missed, 10)+"\n")
 		}
 		// There is nowhere to report that the output of the log has failed.
--- a/internal/daemon/logqueue_test.go
+++ b/internal/daemon/logqueue_test.go
@@ -13,28 +13,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stuckOutput takes nothing until it is released.
-type stuckOutput struct {
+// blockingWriter takes nothing until it is released.
+type blockingWriter struct {
 	release chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuckOutput) Write(line []byte) (int, error) {
+func (s *blockingWriter) Write(line []byte) (int, error) {
 	<-s.release
 	return s.Buffer.Write(line)
 }
 
-func TestWhoLogsNeverWaitsForTheOutput(t *testing.T) {
-	out := &stuckOutput{release: make(chan struct{})}
+func TestLoggingNeverBlocksOnOutput(t *testing.T) {
+	out := &blockingWriter{release: make(chan struct{})}
 	clock := clockwork.NewFakeClock()
 	queue := NewLogQueue(out, clock)
 	dropped := atomic.Int64{}
-	queue.Dropped = func() { dropped.Add(1) }
-	const lines = 4 * logQueue
+	queue.OnDrop = func() { dropped.Add(1) }
+	const lines = 4 * logQueueLines
 	for i := range lines {
 		_, err := fmt.Fprintf(queue, "line %d\n", i)
 		require.NoError(t, err)
-		if i%logPerSecond == logPerSecond-1 {
+		if i%maxLogLinesPerSecond == maxLogLinesPerSecond-1 {
 			clock.Advance(time.Second)
 		}
 	}
@@ -46,12 +46,12 @@
 	require.Contains(t, out.String(), "log lines dropped")
 }
 
-func TestTheVolumeOfTheLogIsBounded(t *testing.T) {
+func TestLogRateIsBounded(t *testing.T) {
 	out := &bytes.Buffer{}
 	queue := NewLogQueue(out, clockwork.NewFakeClock())
-	for range 3 * logPerSecond {
+	for range 3 * maxLogLinesPerSecond {
 		_, _ = queue.Write([]byte("x\n"))
 	}
 	queue.Close(context.Background())
-	require.LessOrEqual(t, strings.Count(out.String(), "x\n"), logPerSecond)
+	require.LessOrEqual(t, strings.Count(out.String(), "x\n"), maxLogLinesPerSecond)
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -13,14 +13,14 @@
 
 	requests       *prometheus.CounterVec
 	requestSeconds *prometheus.HistogramVec
-	firstByte      *prometheus.HistogramVec
+	ttfbSeconds    *prometheus.HistogramVec
 	retries        *prometheus.CounterVec
 	refusals       *prometheus.CounterVec
 	heartbeats     prometheus.Counter
-	silent         prometheus.Counter
+	markedSilent   prometheus.Counter
 	keyValueCalls  *prometheus.CounterVec
 	keyValueErrors prometheus.Counter
-	planner        prometheus.Gauge
+	isPlanner      prometheus.Gauge
 	planSeconds    prometheus.Histogram
 	chunkBytes     *prometheus.CounterVec
 	chunkFaults    *prometheus.CounterVec
@@ -39,14 +39,14 @@
 		registry:       prometheus.NewRegistry(),
 		requests:       metric.CounterVec("requests_total", "Requests by final outcome.", "service", "group", "outcome"),
 		requestSeconds: metric.HistogramVec("request_seconds", "Time from arrival to the end of the answer.", requestBuckets, "service"),
-		firstByte:      metric.HistogramVec("request_first_byte_seconds", "Time from arrival to the first byte of the answer.", requestBuckets, "service"),
+		ttfbSeconds:    metric.HistogramVec("request_first_byte_seconds", "Time from arrival to the first byte of the answer.", requestBuckets, "service"),
 		retries:        metric.CounterVec("request_retries_total", "Further tries of requests, by reason.", "reason"),
 		refusals:       metric.CounterVec("request_refusals_total", "Requests refused as not run, by reason.", "reason"),
 		heartbeats:     metric.Counter("heartbeats_received_total", "Heartbeats received."),
-		silent:         metric.Counter("boxes_marked_silent_total", "Boxes that this process marked silent."),
+		markedSilent:   metric.Counter("boxes_marked_silent_total", "Boxes that this process marked silent."),
 		keyValueCalls:  metric.CounterVec("key_value_calls_total", "Calls of the key-value service, by purpose.", "purpose"),
 		keyValueErrors: metric.Counter("key_value_errors_total", "Reads of the key-value service that failed."),
-		planner:        metric.Gauge("planner", "1 while this process holds the planner's lease."),
+		isPlanner:      metric.Gauge("planner", "1 while this process holds the planner's lease."),
 		planSeconds:    prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: metric.Namespace, Name: "plan_seconds", Help: "Time to compute a plan.", Buckets: requestBuckets}),
 		chunkBytes:     metric.CounterVec("chunk_received_bytes_total", "Bytes of verified chunks received, by where from.", "from"),
 		chunkFaults:    metric.CounterVec("chunk_faults_total", "Fetches of chunks that failed, by where from and fault.", "from", "fault"),
@@ -55,8 +55,8 @@
 		gateRequests:   metric.CounterVec("gate_requests_total", "Requests that reached this agent, by what became of them.", "result"),
 	}
 	m.registry.MustRegister(
-		m.requests, m.requestSeconds, m.firstByte, m.retries, m.refusals, m.heartbeats, m.silent,
-		m.keyValueCalls, m.keyValueErrors, m.planner, m.planSeconds,
+		m.requests, m.requestSeconds, m.ttfbSeconds, m.retries, m.refusals, m.heartbeats, m.markedSilent,
+		m.keyValueCalls, m.keyValueErrors, m.isPlanner, m.planSeconds,
 		m.chunkBytes, m.chunkFaults, m.servedBytes, m.copySeconds, m.gateRequests,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 	)
--- a/internal/daemon/monitor.go
+++ b/internal/daemon/monitor.go
@@ -16,36 +16,36 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// entriesTold is how many entry boxes an agent learns, its monitors first.
-const entriesTold = 5
+// maxAnnouncedEntries is how many entry boxes an agent learns, its monitors first.
+const maxAnnouncedEntries = 5
 
 // Monitor takes heartbeats: it publishes the records of boxes, marks boxes
 // silent, and tells agents their assignments and neighbours.
 type Monitor struct {
-	view    *View
-	replica *Replica
-	clock   clockwork.Clock
-	log     zerolog.Logger
-	heard   *member.Monitor
-	duties  *kernel.TaskGroup
-	metrics *Metrics
-	peers   *Peers
-	own     member.Address
-	// patience is how long a silent box and its other monitors are asked.
-	patience time.Duration
+	view       *View
+	replica    *Replica
+	clock      clockwork.Clock
+	log        zerolog.Logger
+	detector   *member.Monitor
+	tasks      *kernel.TaskGroup
+	metrics    *Metrics
+	peers      *PeerPool
+	ownAddress member.Address
+	// probeTimeout is how long a silent box and its other monitors are asked.
+	probeTimeout time.Duration
 }
 
 // NewMonitor starts to look for silence.
-func NewMonitor(own member.Address, view *View, replica *Replica, peers *Peers, clock clockwork.Clock, log zerolog.Logger,
+func NewMonitor(own member.Address, view *View, replica *Replica, peers *PeerPool, clock clockwork.Clock, log zerolog.Logger,
 	metrics *Metrics, silence time.Duration,
 ) *Monitor {
 	m := &Monitor{
-		own: own, view: view, replica: replica, peers: peers, clock: clock, log: log, metrics: metrics,
-		patience: silence / 2,
-		heard:    member.NewMonitor(silence),
-		duties:   kernel.NewTaskGroup(),
+		ownAddress: own, view: view, replica: replica, peers: peers, clock: clock, log: log, metrics: metrics,
+		probeTimeout: silence / 2,
+		detector:     member.NewMonitor(silence),
+		tasks:        kernel.NewTaskGroup(),
 	}
-	m.duties.Go(func(ctx context.Context) { m.watch(ctx, silence/4) })
+	m.tasks.Go(func(ctx context.Context) { m.watch(ctx, silence/4) })
 	return m
 }
 
@@ -53,7 +53,7 @@
 func (m *Monitor) String() string { return "monitor" }
 
 // Stop ends looking for silence.
-func (m *Monitor) Stop(ctx context.Context) error { return m.duties.Stop(ctx) }
+func (m *Monitor) Stop(ctx context.Context) error { return m.tasks.Stop(ctx) }
 
 func (m *Monitor) watch(ctx context.Context, interval time.Duration) {
 	last := m.clock.Now()
@@ -67,23 +67,23 @@
 		if now.Sub(last) > 2*interval {
 			// This process itself stood still, so what it has not heard says
 			// nothing about the others.
-			m.heard.ResetAll(now)
+			m.detector.ResetAll(now)
 		}
 		last = now
-		for _, box := range m.heard.RemoveSilent(now) {
-			m.duties.Go(func(ctx context.Context) { m.suspect(ctx, box) })
+		for _, box := range m.detector.RemoveSilent(now) {
+			m.tasks.Go(func(ctx context.Context) { m.probeSuspect(ctx, box) })
 		}
 	}
 }
 
-// suspect asks the box itself and its other monitors before it marks the box: its
+// probeSuspect asks the box itself and its other monitors before it marks the box: its
 // heartbeats may go elsewhere by now, or one link may be bad.
-func (m *Monitor) suspect(ctx context.Context, box member.BoxID) {
+func (m *Monitor) probeSuspect(ctx context.Context, box member.BoxID) {
 	record, ok := m.view.Member(box)
 	if !ok || record.Status == member.StatusSilent {
 		return
 	}
-	callCtx, cancel := context.WithTimeout(ctx, m.patience)
+	callCtx, cancel := context.WithTimeout(ctx, m.probeTimeout)
 	defer cancel()
 	type answer struct{ alive, heard bool }
 	others := m.otherMonitors(record)
@@ -104,7 +104,7 @@
 			return
 		}
 		if got.alive {
-			m.heard.RecordHeartbeat(box, m.clock.Now())
+			m.detector.RecordHeartbeat(box, m.clock.Now())
 			return
 		}
 	}
@@ -116,13 +116,13 @@
 // otherMonitors are those of the box's monitors that are not this one.
 func (m *Monitor) otherMonitors(record member.Record) []member.Address {
 	ranked := rankedMonitors(record.Box, m.view.Entries(record.Region))
-	others := slices.DeleteFunc(ranked, func(address member.Address) bool { return address == m.own })
+	others := slices.DeleteFunc(ranked, func(address member.Address) bool { return address == m.ownAddress })
 	return others[:min(monitorsPerBox, len(others))]
 }
 
 // Heard answers another monitor.
 func (m *Monitor) Heard(_ context.Context, request *wire.HeardRequest) (*wire.HeardResponse, error) {
-	return &wire.HeardResponse{Heard: m.heard.HasRecentHeartbeat(member.BoxID(request.Box), m.clock.Now())}, nil
+	return &wire.HeardResponse{Heard: m.detector.HasRecentHeartbeat(member.BoxID(request.Box), m.clock.Now())}, nil
 }
 
 // markSilent publishes the version directly above the box's own.
@@ -138,25 +138,25 @@
 		return
 	}
 	m.log.Warn().Str("box", string(box)).Msg("box is silent")
-	m.metrics.silent.Inc()
+	m.metrics.markedSilent.Inc()
 	m.replica.Publish(item)
 }
 
 // Heartbeat answers a box.
 func (m *Monitor) Heartbeat(_ context.Context, request *wire.HeartbeatRequest) (*wire.HeartbeatResponse, error) {
 	box := member.BoxID(request.Box)
-	m.heard.RecordHeartbeat(box, m.clock.Now())
+	m.detector.RecordHeartbeat(box, m.clock.Now())
 	m.metrics.heartbeats.Inc()
 	if len(request.Record) > 0 {
-		if err := m.publish(request.Record); err != nil {
+		if err := m.publishRecord(request.Record); err != nil {
 			return nil, err
 		}
 	}
 	answer := &wire.HeartbeatResponse{}
-	m.fillKnown(box, answer)
+	m.fillKnownVersion(box, answer)
 	m.fillAssignment(box, request, answer)
 	for _, wanted := range request.Wanted {
-		if swarm, ok := m.swarm(box, wanted); ok {
+		if swarm, ok := m.swarmFor(box, wanted); ok {
 			answer.Swarms = append(answer.Swarms, swarm)
 		}
 	}
@@ -164,7 +164,7 @@
 	return answer, nil
 }
 
-func (m *Monitor) publish(raw []byte) error {
+func (m *Monitor) publishRecord(raw []byte) error {
 	record, err := member.ParseRecord(raw)
 	if err != nil {
 		return err
@@ -175,7 +175,7 @@
 	return nil
 }
 
-func (m *Monitor) fillKnown(box member.BoxID, answer *wire.HeartbeatResponse) {
+func (m *Monitor) fillKnownVersion(box member.BoxID, answer *wire.HeartbeatResponse) {
 	item, ok := m.replica.store.Lookup(member.KeyPrefix + string(box))
 	if !ok {
 		return
@@ -197,15 +197,15 @@
 	}
 }
 
-// swarm names the neighbours of a box for one manifest and, where the box does
+// swarmFor names the neighbours of a box for one manifest and, where the box does
 // not know them yet, all that want it. Boxes that are not up are left out.
-func (m *Monitor) swarm(box member.BoxID, wanted *wire.Wanted) (*wire.Swarm, bool) {
+func (m *Monitor) swarmFor(box member.BoxID, wanted *wire.Wanted) (*wire.Swarm, bool) {
 	manifest, err := weights.DigestFromBytes(wanted.Manifest)
 	if err != nil {
 		return nil, false
 	}
 	self, _ := m.view.Member(box)
-	carriers := m.carriers(manifest)
+	carriers := m.swarmMembers(manifest)
 	swarm := &wire.Swarm{Manifest: wanted.Manifest, DrawersHash: hashBoxes(carriers)}
 	if swarm.DrawersHash != wanted.DrawersHash {
 		swarm.Drawers = swarmPeers(self, carriers)
@@ -214,8 +214,8 @@
 	return swarm, true
 }
 
-// carriers are the boxes that are up and carry a manifest or are to.
-func (m *Monitor) carriers(manifest weights.Digest) []member.Record {
+// swarmMembers are the boxes that are up and carry a manifest or are to.
+func (m *Monitor) swarmMembers(manifest weights.Digest) []member.Record {
 	boxes := m.view.Swarm(manifest)
 	records := make([]member.Record, 0, len(boxes))
 	for _, box := range boxes {
@@ -268,5 +268,5 @@
 			addresses = append(addresses, entry.Peers)
 		}
 	}
-	return member.Rank(string(box), addresses, entriesTold)
+	return member.Rank(string(box), addresses, maxAnnouncedEntries)
 }
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operatorserver.go
@@ -25,36 +25,36 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// patchLimit bounds an edit, in bytes.
-const patchLimit = 1 << 20
+// maxPatchBytes bounds an edit, in bytes.
+const maxPatchBytes = 1 << 20
 
-// Operators answers operators over HTTP, apart from callers. Agents have only
+// OperatorServer answers operators over HTTP, apart from callers. Agents have only
 // the metrics and the health checks.
-type Operators struct {
-	options OperatorsOptions
+type OperatorServer struct {
+	options OperatorServerOptions
 	token   string
-	duties  *kernel.TaskGroup
+	tasks   *kernel.TaskGroup
 	server  *http.Server
 }
 
-// OperatorsOptions are the parts that Operators works with. View and
+// OperatorServerOptions are the parts that Operators works with. View and
 // Configuration are nil on an agent.
-type OperatorsOptions struct {
-	TokenFile     string
-	View          *View
-	Configuration *Configuration
-	Metrics       *Metrics
-	Clock         clockwork.Clock
-	Log           zerolog.Logger
-	EntriesTTL    time.Duration
-	Self          func() member.Record
+type OperatorServerOptions struct {
+	TokenFile  string
+	View       *View
+	Table      *TableStore
+	Metrics    *Metrics
+	Clock      clockwork.Clock
+	Log        zerolog.Logger
+	EntriesTTL time.Duration
+	Self       func() member.Record
 	// Ready reports whether the process can do its work, and if not, why.
 	Ready func() (ok bool, why string)
 }
 
-// NewOperators starts to answer on a listener.
-func NewOperators(listener net.Listener, options OperatorsOptions) (*Operators, error) {
-	o := &Operators{options: options, duties: kernel.NewTaskGroup()}
+// NewOperatorServer starts to answer on a listener.
+func NewOperatorServer(listener net.Listener, options OperatorServerOptions) (*OperatorServer, error) {
+	o := &OperatorServer{options: options, tasks: kernel.NewTaskGroup()}
 	if options.TokenFile != "" {
 		content, err := os.ReadFile(options.TokenFile)
 		if err != nil {
@@ -64,7 +64,7 @@
 	}
 	router := newEcho()
 	router.GET("/healthz", func(e echo.Context) error { return e.String(http.StatusOK, "ok\n") })
-	router.GET("/readyz", o.ready)
+	router.GET("/readyz", o.getReady)
 	secured := router.Group("", o.authorize)
 	secured.GET("/metrics", echo.WrapHandler(promhttp.HandlerFor(options.Metrics.registry, promhttp.HandlerOpts{})))
 	if options.View != nil {
@@ -76,9 +76,9 @@
 		secured.GET("/v1/entries", o.getEntries)
 	}
 	o.server = &http.Server{
-		Handler: router, ReadHeaderTimeout: headerTimeout, IdleTimeout: connectionIdle, MaxHeaderBytes: headerLimit,
+		Handler: router, ReadHeaderTimeout: headerTimeout, IdleTimeout: httpIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
-	o.duties.Go(func(context.Context) {
+	o.tasks.Go(func(context.Context) {
 		if err := o.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			options.Log.Error().Err(err).Msg("operators' listener failed")
 		}
@@ -87,15 +87,15 @@
 }
 
 // String returns the service's name.
-func (o *Operators) String() string { return "operators" }
+func (o *OperatorServer) String() string { return "operators" }
 
 // Stop finishes what is in progress.
-func (o *Operators) Stop(ctx context.Context) error {
+func (o *OperatorServer) Stop(ctx context.Context) error {
 	err := o.server.Shutdown(ctx)
-	return errors.Join(err, o.duties.Stop(ctx))
+	return errors.Join(err, o.tasks.Stop(ctx))
 }
 
-func (o *Operators) authorize(next echo.HandlerFunc) echo.HandlerFunc {
+func (o *OperatorServer) authorize(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(e echo.Context) error {
 		given := strings.TrimPrefix(e.Request().Header.Get("Authorization"), "Bearer ")
 		if o.token != "" && subtle.ConstantTimeCompare([]byte(given), []byte(o.token)) != 1 {
@@ -107,7 +107,7 @@
 	}
 }
 
-func (o *Operators) ready(e echo.Context) error {
+func (o *OperatorServer) getReady(e echo.Context) error {
 	if ok, why := o.options.Ready(); !ok {
 		writeProblem(e.Response(), Problem{Status: http.StatusServiceUnavailable, Detail: why})
 		return nil
@@ -115,8 +115,8 @@
 	return e.String(http.StatusOK, "ready\n")
 }
 
-// TableAnswer is the table in force.
-type TableAnswer struct {
+// TableResponse is the table in force.
+type TableResponse struct {
 	Revision table.Revision `json:"revision"`
 	Rows     []table.Row    `json:"rows"`
 }
@@ -125,44 +125,44 @@
 	return strconv.Quote(strconv.FormatUint(uint64(revision), 10))
 }
 
-func (o *Operators) getTable(e echo.Context) error {
+func (o *OperatorServer) getTable(e echo.Context) error {
 	rows, revision := o.options.View.Rows()
 	e.Response().Header().Set("ETag", etag(revision))
 	if strings.Contains(e.Request().Header.Get("Accept"), "text/csv") {
 		e.Response().Header().Set("Content-Type", "text/csv; charset=utf-8")
 		return table.WriteCSV(e.Response(), rows)
 	}
-	return e.JSON(http.StatusOK, TableAnswer{Revision: revision, Rows: rows})
+	return e.JSON(http.StatusOK, TableResponse{Revision: revision, Rows: rows})
 }
 
-// Patch is the body of an edit; its base revision is the If-Match header.
-type Patch struct {
+// TablePatch is the body of an edit; its base revision is the If-Match header.
+type TablePatch struct {
 	ID      table.EditID   `json:"id"`
 	Author  string         `json:"author"`
 	Reason  string         `json:"reason,omitempty"`
 	Changes []table.Change `json:"changes"`
 }
 
-// PatchAnswer tells the revision at which an edit is in the table.
-type PatchAnswer struct {
+// PatchResponse tells the revision at which an edit is in the table.
+type PatchResponse struct {
 	Edit     table.EditID   `json:"edit"`
 	Revision table.Revision `json:"revision"`
 }
 
-func (o *Operators) patchTable(e echo.Context) error {
+func (o *OperatorServer) patchTable(e echo.Context) error {
 	edit, problem := readPatch(e)
 	if problem != nil {
 		writeProblem(e.Response(), *problem)
 		return nil
 	}
-	held, err := o.options.Configuration.Edit(e.Request().Context(), edit)
+	held, err := o.options.Table.Edit(e.Request().Context(), edit)
 	if err != nil {
 		writeProblem(e.Response(), editProblem(edit.ID, err))
 		return nil
 	}
 	record, _ := held.Find(edit.ID)
 	e.Response().Header().Set("ETag", etag(held.Revision))
-	return e.JSON(http.StatusOK, PatchAnswer{Edit: edit.ID, Revision: record.Revision})
+	return e.JSON(http.StatusOK, PatchResponse{Edit: edit.ID, Revision: record.Revision})
 }
 
 func readPatch(e echo.Context) (table.Edit, *Problem) {
@@ -172,8 +172,8 @@
 			Status: http.StatusPreconditionRequired, Detail: "want If-Match with the revision that the edit is based on, as GET /v1/table gives it",
 		}
 	}
-	var patch Patch
-	decoder := json.NewDecoder(http.MaxBytesReader(e.Response(), e.Request().Body, patchLimit))
+	var patch TablePatch
+	decoder := json.NewDecoder(http.MaxBytesReader(e.Response(), e.Request().Body, maxPatchBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&patch); err != nil {
 		return table.Edit{}, &Problem{Status: http.StatusBadRequest, Detail: "reading the edit: " + err.Error()}
@@ -209,8 +209,8 @@
 	return problem
 }
 
-func (o *Operators) getHistory(e echo.Context) error {
-	records, err := o.options.Configuration.History(e.Request().Context())
+func (o *OperatorServer) getHistory(e echo.Context) error {
+	records, err := o.options.Table.History(e.Request().Context())
 	if err != nil {
 		writeProblem(e.Response(), editProblem("", err))
 		return nil
@@ -219,9 +219,9 @@
 }
 
 // getEdit settles an edit that was undecided.
-func (o *Operators) getEdit(e echo.Context) error {
+func (o *OperatorServer) getEdit(e echo.Context) error {
 	id := table.EditID(e.Param("id"))
-	record, found, err := o.options.Configuration.Find(e.Request().Context(), id)
+	record, found, err := o.options.Table.Find(e.Request().Context(), id)
 	if err != nil {
 		writeProblem(e.Response(), editProblem(id, err))
 		return nil
@@ -233,14 +233,14 @@
 	return e.JSON(http.StatusOK, record)
 }
 
-// StatusAnswer is what an entry box knows of the whole.
-type StatusAnswer struct {
-	Self   member.Record   `json:"self"`
-	Table  table.Revision  `json:"table_revision"`
-	Plan   plan.Head       `json:"plan"`
-	Rows   []RowStatus     `json:"rows"`
-	Boxes  []member.Record `json:"boxes"`
-	Wanted []BoxWanted     `json:"wanted"`
+// StatusResponse is what an entry box knows of the whole.
+type StatusResponse struct {
+	Self    member.Record        `json:"self"`
+	Table   table.Revision       `json:"table_revision"`
+	Plan    plan.Head            `json:"plan"`
+	Rows    []RowStatus          `json:"rows"`
+	Boxes   []member.Record      `json:"boxes"`
+	Desired []BoxDesiredVersions `json:"wanted"`
 }
 
 // RowStatus is a row of the table with what is in force for it.
@@ -249,31 +249,31 @@
 	Plan plan.RowPlan `json:"plan"`
 }
 
-// BoxWanted is what the plan wants on a box.
-type BoxWanted struct {
-	Box     member.BoxID         `json:"box"`
-	Weights []plan.PinnedVersion `json:"weights"`
+// BoxDesiredVersions is what the plan wants on a box.
+type BoxDesiredVersions struct {
+	Box      member.BoxID         `json:"box"`
+	Versions []plan.PinnedVersion `json:"weights"`
 }
 
-func (o *Operators) getStatus(e echo.Context) error {
+func (o *OperatorServer) getStatus(e echo.Context) error {
 	rows, revision := o.options.View.Rows()
 	current, head := o.options.View.Plan()
-	answer := StatusAnswer{
+	answer := StatusResponse{
 		Self: o.options.Self(), Table: revision, Plan: head,
-		Rows: []RowStatus{}, Boxes: o.options.View.Members(), Wanted: []BoxWanted{},
+		Rows: []RowStatus{}, Boxes: o.options.View.Members(), Desired: []BoxDesiredVersions{},
 	}
 	for _, row := range rows {
 		answer.Rows = append(answer.Rows, RowStatus{Row: row, Plan: current.Rows[row.Key()]})
 	}
 	for _, record := range answer.Boxes {
 		if assignment, ok := current.Boxes[record.Box]; ok {
-			answer.Wanted = append(answer.Wanted, BoxWanted{Box: record.Box, Weights: assignment.Versions})
+			answer.Desired = append(answer.Desired, BoxDesiredVersions{Box: record.Box, Versions: assignment.Versions})
 		}
 	}
 	return e.JSON(http.StatusOK, answer)
 }
 
-func (o *Operators) getEntries(e echo.Context) error {
+func (o *OperatorServer) getEntries(e echo.Context) error {
 	service := member.Service(e.QueryParam("service"))
-	return e.JSON(http.StatusOK, entriesAnswer(o.options.View, service, o.options.Self().Region, o.options.EntriesTTL))
+	return e.JSON(http.StatusOK, newEntriesResponse(o.options.View, service, o.options.Self().Region, o.options.EntriesTTL))
 }
--- a/internal/daemon/overlay.go
+++ b/internal/daemon/overlay.go
@@ -18,7 +18,7 @@
 
 	mu         sync.Mutex
 	generation uint64
-	worked     bool
+	computed   bool
 	links      Links
 }
 
@@ -26,15 +26,15 @@
 type Links struct {
 	// IsRelay is set for the roots of the region's tree.
 	IsRelay bool
-	// Follow holds sources to read from; of each element the first address that
+	// PullSources holds sources to read from; of each element the first address that
 	// answers is read.
-	Follow [][]member.Address
+	PullSources [][]member.Address
 	// LocalOnly is set where every source hands on only what came up to it, so
 	// that each item crosses once.
 	LocalOnly bool
-	// Up are the relays that take this box's own changes, the preferred first;
+	// PushTargets are the relays that take this box's own changes, the preferred first;
 	// empty for a relay.
-	Up []member.Address
+	PushTargets []member.Address
 }
 
 // NewOverlay returns the overlay as seen from a box. The seeds are used as long
@@ -50,22 +50,22 @@
 func (o *Overlay) Links() Links {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if generation := o.view.EntryGeneration(); !o.worked || generation != o.generation {
-		o.worked, o.generation = true, generation
-		o.links = o.work()
+	if generation := o.view.EntryGeneration(); !o.computed || generation != o.generation {
+		o.computed, o.generation = true, generation
+		o.links = o.computeLinks()
 	}
-	if len(o.links.Follow) > 0 {
+	if len(o.links.PullSources) > 0 {
 		return o.links
 	}
 	links := o.links
 	for _, seed := range o.seeds() {
-		links.Follow = append(links.Follow, []member.Address{seed})
-		links.Up = append(links.Up, seed)
+		links.PullSources = append(links.PullSources, []member.Address{seed})
+		links.PushTargets = append(links.PushTargets, seed)
 	}
 	return links
 }
 
-func (o *Overlay) work() Links {
+func (o *Overlay) computeLinks() Links {
 	addresses := make(map[member.BoxID]member.Address)
 	regions := make(map[member.Region][]member.BoxID)
 	for _, entry := range o.view.Entries("") {
@@ -86,7 +86,7 @@
 			return a == addresses[parent]
 		})...)
 	}
-	return Links{Follow: [][]member.Address{sources}, Up: relays}
+	return Links{PullSources: [][]member.Address{sources}, PushTargets: relays}
 }
 
 func (o *Overlay) relayLinks(regions map[member.Region][]member.BoxID, addresses map[member.BoxID]member.Address) Links {
@@ -94,7 +94,7 @@
 	for region, boxes := range regions {
 		for _, root := range member.NewTree(string(region), boxes).Roots() {
 			if root != o.self.Box {
-				links.Follow = append(links.Follow, []member.Address{addresses[root]})
+				links.PullSources = append(links.PullSources, []member.Address{addresses[root]})
 			}
 		}
 	}
--- a/internal/daemon/peers_test.go
+++ b/internal/daemon/peers_test.go
@@ -14,46 +14,46 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// silencedListener drops what comes in on the connections that are open when it is silenced.
-type silencedListener struct {
+// blackholeListener drops what comes in on the connections that are open when it is silenced.
+type blackholeListener struct {
 	net.Listener
 	mu   sync.Mutex
-	open []*silencedConn
+	open []*blackholeConn
 }
 
 // Accept waits for a connection.
-func (l *silencedListener) Accept() (net.Conn, error) {
+func (l *blackholeListener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	conn := &silencedConn{Conn: raw, silent: make(chan struct{})}
+	conn := &blackholeConn{Conn: raw, dropping: make(chan struct{})}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open = append(l.open, conn)
 	return conn, nil
 }
 
-func (l *silencedListener) silence() {
+func (l *blackholeListener) dropInput() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, conn := range l.open {
-		close(conn.silent)
+		close(conn.dropping)
 	}
 	l.open = nil
 }
 
-type silencedConn struct {
+type blackholeConn struct {
 	net.Conn
-	silent chan struct{}
+	dropping chan struct{}
 }
 
 // Read drops what it reads once the connection is silent.
-func (c *silencedConn) Read(into []byte) (int, error) {
+func (c *blackholeConn) Read(into []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(into)
 		select {
-		case <-c.silent:
+		case <-c.dropping:
 			if err != nil {
 				return 0, err
 			}
@@ -63,28 +63,28 @@
 	}
 }
 
-// publisher answers one call of the service Fleet.
-type publisher struct {
+// emptyFleetServer answers one call of the service Fleet.
+type emptyFleetServer struct {
 	wire.DRPCFleetUnimplementedServer
 }
 
 // Published answers with nothing.
-func (*publisher) Published(context.Context, *wire.PublishedRequest) (*wire.ManifestResponse, error) {
+func (*emptyFleetServer) Published(context.Context, *wire.PublishedRequest) (*wire.ManifestResponse, error) {
 	return &wire.ManifestResponse{}, nil
 }
 
 // A stream that was opened again after it had fallen silent was put on a kept connection that
 // was silent as well, and so on for each of those.
-func TestAConnectionOfItsOwnIsAnsweredWhileKeptOnesAreSilent(t *testing.T) {
+func TestDialedConnectionWorksWhilePooledOnesHang(t *testing.T) {
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	listener, mux := &silencedListener{Listener: raw}, drpcmux.New()
-	require.NoError(t, wire.DRPCRegisterFleet(mux, new(publisher)))
-	server, peers := NewPeerServer(listener, mux, zerolog.Nop()), NewPeers()
+	listener, mux := &blackholeListener{Listener: raw}, drpcmux.New()
+	require.NoError(t, wire.DRPCRegisterFleet(mux, new(emptyFleetServer)))
+	server, peers := NewPeerServer(listener, mux, zerolog.Nop()), NewPeerPool()
 	address := member.Address(raw.Addr().String())
 	_, err = wire.NewDRPCFleetClient(peers.Conn(address)).Published(t.Context(), &wire.PublishedRequest{})
 	require.NoError(t, err)
-	listener.silence()
+	listener.dropInput()
 
 	keptCtx, giveUp := context.WithCancel(t.Context())
 	kept := make(chan error)
--- a/internal/daemon/planner.go
+++ b/internal/daemon/planner.go
@@ -23,32 +23,32 @@
 // The planner's keys in the key-value service: the lease, and the head of the
 // newest plan, which every plan must win by compare-and-swap before it is used.
 const (
-	plannerKey  = "cinderslip/planner"
-	planHeadKey = "cinderslip/plan"
+	plannerLeaseKey = "cinderslip/planner"
+	planHeadKey     = "cinderslip/plan"
 )
 
 const (
-	// plannerLease is how long a planner that is gone holds up its successor. It
+	// plannerLeaseTTL is how long a planner that is gone holds up its successor. It
 	// outlasts several calls of a key-value service that takes 2 s for each.
-	plannerLease = 10 * time.Second
-	plannerRenew = 2 * time.Second
-	// plannerPoll is how often a relay that is not the planner looks.
-	plannerPoll = time.Second
-	// planInterval is the least time between two plans; planPulse is the most,
-	// for what changes with time alone. A large plan waits planPace times as long
+	plannerLeaseTTL      = 10 * time.Second
+	plannerRenewInterval = 2 * time.Second
+	// plannerPollInterval is how often a relay that is not the planner looks.
+	plannerPollInterval = time.Second
+	// minPlanInterval is the least time between two plans; maxPlanInterval is the most,
+	// for what changes with time alone. A large plan waits planPauseFactor times as long
 	// as it took to compute, which bounds the planner to 3% of a core.
-	planInterval = 200 * time.Millisecond
-	planPace     = 30
-	planPulse    = time.Second
-	// settleBeats is for how many heartbeats a planner that knows no plan waits
+	minPlanInterval = 200 * time.Millisecond
+	planPauseFactor = 30
+	maxPlanInterval = time.Second
+	// startupHeartbeats is for how many heartbeats a planner that knows no plan waits
 	// to be told what the boxes hold.
-	settleBeats = 2
-	// manifestRetry is how long a version that was not found is not asked for.
-	manifestRetry = 2 * time.Second
+	startupHeartbeats = 2
+	// manifestRetryDelay is how long a version that was not found is not asked for.
+	manifestRetryDelay = 2 * time.Second
 )
 
-// errDeposed reports that another planner has taken over.
-var errDeposed = errors.New("another planner has taken over")
+// errSuperseded reports that another planner has taken over.
+var errSuperseded = errors.New("another planner has taken over")
 
 // Planner computes plans while it holds the lease. Its epoch is the key-value
 // service's revision at which it took the lease, so epochs only go up. A planner
@@ -64,16 +64,16 @@
 	log     zerolog.Logger
 	metrics *Metrics
 	isRelay func() bool
-	duties  *kernel.TaskGroup
+	tasks   *kernel.TaskGroup
 	options plan.Options
-	// heartbeat is the time between the heartbeats of a box.
-	heartbeat time.Duration
-	// resolved wakes planning when a version was pinned.
-	resolved chan struct{}
+	// heartbeatInterval is the time between the heartbeats of a box.
+	heartbeatInterval time.Duration
+	// versionResolved wakes planning when a version was pinned.
+	versionResolved chan struct{}
 
-	mu        sync.Mutex
-	manifests map[table.Model]map[table.ModelVersion]weights.Digest
-	missed    map[table.Model]map[table.ModelVersion]time.Time
+	mu             sync.Mutex
+	manifests      map[table.Model]map[table.ModelVersion]weights.Digest
+	lookupFailures map[table.Model]map[table.ModelVersion]time.Time
 }
 
 // NewPlanner starts to compete for the lease while isRelay holds.
@@ -83,14 +83,14 @@
 	p := &Planner{
 		self: self, kv: kv, sources: sources, view: view, replica: replica,
 		clock: clock, log: log, metrics: metrics, isRelay: isRelay,
-		duties:    kernel.NewTaskGroup(),
-		options:   plan.DefaultOptions(),
-		heartbeat: heartbeat,
-		resolved:  make(chan struct{}, 1),
-		manifests: make(map[table.Model]map[table.ModelVersion]weights.Digest),
-		missed:    make(map[table.Model]map[table.ModelVersion]time.Time),
+		tasks:             kernel.NewTaskGroup(),
+		options:           plan.DefaultOptions(),
+		heartbeatInterval: heartbeat,
+		versionResolved:   make(chan struct{}, 1),
+		manifests:         make(map[table.Model]map[table.ModelVersion]weights.Digest),
+		lookupFailures:    make(map[table.Model]map[table.ModelVersion]time.Time),
 	}
-	p.duties.Go(p.compete)
+	p.tasks.Go(p.campaign)
 	return p
 }
 
@@ -98,22 +98,22 @@
 func (p *Planner) String() string { return "planner" }
 
 // Stop gives the lease back.
-func (p *Planner) Stop(ctx context.Context) error { return p.duties.Stop(ctx) }
+func (p *Planner) Stop(ctx context.Context) error { return p.tasks.Stop(ctx) }
 
-func (p *Planner) compete(ctx context.Context) {
+func (p *Planner) campaign(ctx context.Context) {
 	for ctx.Err() == nil {
 		if p.isRelay() {
-			p.tryOnce(ctx)
+			p.campaignOnce(ctx)
 		}
 		select {
 		case <-ctx.Done():
-		case <-p.clock.After(plannerPoll):
+		case <-p.clock.After(plannerPollInterval):
 		}
 	}
 }
 
-func (p *Planner) tryOnce(ctx context.Context) {
-	if !p.isVacant(ctx) {
+func (p *Planner) campaignOnce(ctx context.Context) {
+	if !p.isLeaseFree(ctx) {
 		return
 	}
 	t, err := p.acquire(ctx)
@@ -122,43 +122,43 @@
 		return
 	}
 	p.log.Info().Uint64("epoch", t.epoch).Msg("planner lease taken")
-	p.metrics.planner.Set(1)
-	defer p.metrics.planner.Set(0)
-	err = p.serve(ctx, t)
+	p.metrics.isPlanner.Set(1)
+	defer p.metrics.isPlanner.Set(0)
+	err = p.runTerm(ctx, t)
 	p.log.Info().Uint64("epoch", t.epoch).Err(err).Msg("planner lease given up")
 	p.release(t)
 }
 
-// isVacant reports whether nobody holds the lease.
-func (p *Planner) isVacant(ctx context.Context) bool {
-	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+// isLeaseFree reports whether nobody holds the lease.
+func (p *Planner) isLeaseFree(ctx context.Context) bool {
+	callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
 	p.metrics.keyValueCalls.WithLabelValues("get").Inc()
-	held, err := p.kv.Get(callCtx, plannerKey)
+	held, err := p.kv.Get(callCtx, plannerLeaseKey)
 	return err == nil && held.Revision == 0
 }
 
-// serve plans until the lease or a swap is lost. With the key-value service down
+// runTerm plans until the lease or a swap is lost. With the key-value service down
 // the lease lapses and the last plan stays in force.
-func (p *Planner) serve(ctx context.Context, t *tenure) error {
-	if p.view.Head().Epoch == 0 {
+func (p *Planner) runTerm(ctx context.Context, t *leaseTerm) error {
+	if p.view.PlanHead().Epoch == 0 {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-p.clock.After(settleBeats*p.heartbeat + planInterval):
+		case <-p.clock.After(startupHeartbeats*p.heartbeatInterval + minPlanInterval):
 		}
 	}
 	resolveCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	p.duties.Go(func(context.Context) { p.resolve(resolveCtx) })
+	p.tasks.Go(func(context.Context) { p.resolveVersions(resolveCtx) })
 	for {
 		changed := p.view.Changed()
 		started := p.clock.Now()
 		if err := p.planOnce(ctx, t); err != nil {
 			return err
 		}
-		pause := max(planInterval, planPace*t.computed)
-		p.metrics.planSeconds.Observe(t.computed.Seconds())
+		pause := max(minPlanInterval, planPauseFactor*t.planDuration)
+		p.metrics.planSeconds.Observe(t.planDuration.Seconds())
 		p.log.Debug().Dur("taken_ms", p.clock.Since(started)).Dur("pause_ms", pause).Msg("planned")
 		select {
 		case <-ctx.Done():
@@ -173,13 +173,13 @@
 		case err := <-t.lost:
 			return err
 		case <-changed:
-		case <-p.resolved:
-		case <-p.clock.After(planPulse):
+		case <-p.versionResolved:
+		case <-p.clock.After(maxPlanInterval):
 		}
 	}
 }
 
-func (p *Planner) planOnce(ctx context.Context, t *tenure) error {
+func (p *Planner) planOnce(ctx context.Context, t *leaseTerm) error {
 	rows, revision := p.view.Rows()
 	previous, _ := p.view.Plan()
 	members := p.view.Members()
@@ -188,7 +188,7 @@
 	next := plan.Next(plan.Input{
 		Rows: rows, Boxes: members, Manifests: p.pins(), Previous: previous, Now: started, Options: p.options,
 	})
-	t.computed = p.clock.Since(started)
+	t.planDuration = p.clock.Since(started)
 	version := state.Version{Major: t.epoch, Minor: t.sequence + 1}
 	items, err := planItems(previous, next, version)
 	if err != nil {
@@ -196,11 +196,11 @@
 	}
 	// A plan without changes is still published for a new table, so that its
 	// head tells that the edit is in force.
-	if before := p.view.Head(); len(items) == 0 && before.Epoch == t.epoch && before.Table == revision {
+	if before := p.view.PlanHead(); len(items) == 0 && before.Epoch == t.epoch && before.Table == revision {
 		return nil
 	}
 	head := plan.Head{Epoch: t.epoch, Sequence: version.Minor, Planner: p.self, Table: revision}
-	if err := p.swapHead(ctx, t, head); err != nil {
+	if err := p.compareAndSwapHead(ctx, t, head); err != nil {
 		return err
 	}
 	t.sequence = version.Minor
@@ -219,7 +219,7 @@
 func (p *Planner) awaitView(ctx context.Context, version state.Version) {
 	for {
 		changed := p.view.Changed()
-		head := p.view.Head()
+		head := p.view.PlanHead()
 		if (state.Version{Major: head.Epoch, Minor: head.Sequence}).Compare(version) >= 0 {
 			return
 		}
--- a/internal/daemon/planner_test.go
+++ b/internal/daemon/planner_test.go
@@ -17,81 +17,81 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-func newTestPlanner(t *testing.T, p *testPlatform, n *node, box member.BoxID, isRelay func() bool) *Planner {
+func newTestPlanner(t *testing.T, p *testPlatform, n *testNode, box member.BoxID, isRelay func() bool) *Planner {
 	t.Helper()
-	planner := NewPlanner(box, p.seam, []provider.WeightSource{p.source}, n.view, n.replica,
-		clockwork.NewRealClock(), quiet(), NewMetrics(), isRelay, 10*time.Millisecond)
+	planner := NewPlanner(box, p.kvClient, []provider.WeightSource{p.source}, n.view, n.replica,
+		clockwork.NewRealClock(), nopLogger(), NewMetrics(), isRelay, 10*time.Millisecond)
 	t.Cleanup(func() { stopService(t, planner) })
 	return planner
 }
 
 func never() bool { return false }
 
-func TestPlannerThatWasPausedBeyondItsLeaseChangesNothing(t *testing.T) {
-	p, n, _ := configured(t)
+func TestPlannerPausedBeyondItsLeaseChangesNothing(t *testing.T) {
+	p, n, _ := newConfiguredPlatform(t)
 	paused := newTestPlanner(t, p, n, "paused", never)
 	next := newTestPlanner(t, p, n, "next", never)
 	old, err := paused.acquire(t.Context())
 	require.NoError(t, err)
 	// The pause: its lease lapses unseen, and another planner takes over.
-	old.stop()
-	require.NoError(t, p.seam.Revoke(t.Context(), old.lease))
+	old.stopRenewal()
+	require.NoError(t, p.kvClient.Revoke(t.Context(), old.lease))
 	current, err := next.acquire(t.Context())
 	require.NoError(t, err)
 	require.Greater(t, current.epoch, old.epoch)
 
 	before := n.store.Since(state.Cursor{}, 0).Next
-	require.ErrorIs(t, paused.planOnce(t.Context(), old), errDeposed)
+	require.ErrorIs(t, paused.planOnce(t.Context(), old), errSuperseded)
 	for _, item := range n.store.Since(before, 0).Items {
 		require.NotEqual(t, old.epoch, item.Version.Major, "%s was written by the deposed planner", item.Key)
 	}
 	require.NoError(t, next.planOnce(t.Context(), current))
-	require.Equal(t, current.epoch, n.view.Head().Epoch)
+	require.Equal(t, current.epoch, n.view.PlanHead().Epoch)
 }
 
 func TestTwoPlannersNeverHoldTheLeaseAtOnce(t *testing.T) {
-	p, n, _ := configured(t)
+	p, n, _ := newConfiguredPlatform(t)
 	first := newTestPlanner(t, p, n, "first", never)
 	second := newTestPlanner(t, p, n, "second", never)
 	held, err := first.acquire(t.Context())
 	require.NoError(t, err)
 	_, err = second.acquire(t.Context())
-	require.ErrorIs(t, err, errDeposed)
+	require.ErrorIs(t, err, errSuperseded)
 	first.release(held)
 	_, err = second.acquire(t.Context())
 	require.NoError(t, err)
 }
 
-func TestSwapOfAPlanWhoseAnswerIsLostPublishesNothing(t *testing.T) {
-	p, n, _ := configured(t)
+func TestPlanSwapWithLostResponsePublishesNothing(t *testing.T) {
+	p, n, _ := newConfiguredPlatform(t)
 	planner := newTestPlanner(t, p, n, "planner", never)
 	tenure, err := planner.acquire(t.Context())
 	require.NoError(t, err)
-	p.kv.SetFault(func(string) standin.Fault { return standin.Fault{DropResponse: true} })
+	p.kvServer.SetFault(func(string) standin.Fault { return standin.Fault{DropResponse: true} })
 	require.Error(t, planner.planOnce(t.Context(), tenure))
-	require.Zero(t, n.view.Head().Epoch)
-	p.kv.SetFault(nil)
+	require.Zero(t, n.view.PlanHead().Epoch)
+	p.kvServer.SetFault(nil)
 	planner.release(tenure)
 	next, err := planner.acquire(t.Context())
 	require.NoError(t, err, "the next tenure builds on whatever was written")
 	require.NoError(t, planner.planOnce(t.Context(), next))
-	require.Equal(t, next.epoch, n.view.Head().Epoch)
+	require.Equal(t, next.epoch, n.view.PlanHead().Epoch)
 }
 
 func TestPlanStaysInForceWhileTheKeyValueServiceIsDown(t *testing.T) {
-	p, n, _ := configured(t)
+	p, n, _ := newConfiguredPlatform(t)
 	newTestPlanner(t, p, n, "planner", always)
 	row := table.Key{Group: "kumiai", Model: "kakiwake"}
-	eventually(t, func() bool { decided, ok := n.view.Row(row); return ok && decided.Target == "v1" }, "a plan comes")
-	before := n.view.Head()
-	p.kv.SetFault(func(string) standin.Fault { return standin.Fault{Status: http.StatusServiceUnavailable} })
-	time.Sleep(2 * plannerRenew)
-	_, ok := n.view.Row(row)
+	eventually(t, func() bool { decided, ok := n.view.RowPlan(row); return ok && decided.Target == "v1" }, "a plan comes")
+	before := n.view.PlanHead()
+	p.kvServer.SetFault(func(string) standin.Fault { return standin.Fault{Status: http.StatusServiceUnavailable} })
+	time.Sleep(2 * plannerRenewInterval)
+	_, ok := n.view.RowPlan(row)
 	require.True(t, ok)
-	require.Equal(t, before, n.view.Head())
+	require.Equal(t, before, n.view.PlanHead())
 }
 
-func TestPlannerGivesUpWhenItCannotRenew(t *testing.T) {
+func TestPlannerLosesLeaseWhenRenewalFails(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	planner := &Planner{clock: clock, metrics: NewMetrics(), kv: provider.KeyValue{
 		KeepAlive: func(context.Context, provider.LeaseID) error { return provider.ErrUnavailable },
@@ -100,7 +100,7 @@
 	go func() { ended <- planner.renew(t.Context(), 1, clock.Now()) }()
 	for {
 		require.NoError(t, clock.BlockUntilContext(t.Context(), 1))
-		clock.Advance(plannerRenew)
+		clock.Advance(plannerRenewInterval)
 		select {
 		case err := <-ended:
 			require.ErrorIs(t, err, provider.ErrLeaseLost)
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestPlanItemsHoldOnlyWhatChanged(t *testing.T) {
+func TestPlanItemsContainOnlyChanges(t *testing.T) {
 	box := plan.Assignment{Versions: []plan.PinnedVersion{{Model: "m", Version: "v1"}}}
 	before := plan.Plan{
 		Boxes: map[member.BoxID]plan.Assignment{"a": box, "b": box, "gone": box},
--- a/internal/daemon/replica.go
+++ b/internal/daemon/replica.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// pullLimit bounds the items of one answer.
-	pullLimit = 4096
-	// pullWait is how long a pull may wait for something new.
-	pullWait = 10 * time.Second
-	// pullGap gathers changes that come close together into one answer.
-	pullGap = 20 * time.Millisecond
-	// pullRetry is the wait after a failed pull.
-	pullRetry = 200 * time.Millisecond
+	// maxPullItems bounds the items of one answer.
+	maxPullItems = 4096
+	// maxPullWait is how long a pull may wait for something new.
+	maxPullWait = 10 * time.Second
+	// pullBatchDelay gathers changes that come close together into one answer.
+	pullBatchDelay = 20 * time.Millisecond
+	// pullRetryDelay is the wait after a failed pull.
+	pullRetryDelay = 200 * time.Millisecond
 	// pushTimeout bounds one push.
 	pushTimeout = 2 * time.Second
 	// repairInterval is how often this process compares digests with a source.
@@ -37,32 +37,32 @@
 // and hands its own changes up. Now and then it compares digests with a source,
 // which repairs whatever was lost on the way.
 type Replica struct {
-	store  *state.Store
-	peers  *Peers
-	clock  clockwork.Clock
-	log    zerolog.Logger
-	links  func() Links
-	duties *kernel.TaskGroup
+	store *state.Store
+	peers *PeerPool
+	clock clockwork.Clock
+	log   zerolog.Logger
+	links func() Links
+	tasks *kernel.TaskGroup
 
-	mu       sync.Mutex
-	pending  map[string]bool
-	kick     chan struct{}
-	pulling  map[string]context.CancelFunc
-	repaired time.Time
+	mu         sync.Mutex
+	pending    map[string]bool
+	wake       chan struct{}
+	pullers    map[string]context.CancelFunc
+	lastRepair time.Time
 }
 
 // NewReplica starts to pull and push. The function links may change its answer
 // at any time.
-func NewReplica(store *state.Store, peers *Peers, clock clockwork.Clock, log zerolog.Logger, links func() Links) *Replica {
+func NewReplica(store *state.Store, peers *PeerPool, clock clockwork.Clock, log zerolog.Logger, links func() Links) *Replica {
 	r := &Replica{
 		store: store, peers: peers, clock: clock, log: log, links: links,
-		duties:  kernel.NewTaskGroup(),
+		tasks:   kernel.NewTaskGroup(),
 		pending: make(map[string]bool),
-		kick:    make(chan struct{}, 1),
-		pulling: make(map[string]context.CancelFunc),
+		wake:    make(chan struct{}, 1),
+		pullers: make(map[string]context.CancelFunc),
 	}
-	r.duties.Go(r.followSources)
-	r.duties.Go(r.pushPending)
+	r.tasks.Go(r.followSources)
+	r.tasks.Go(r.pushPending)
 	return r
 }
 
@@ -70,7 +70,7 @@
 func (r *Replica) String() string { return "replica" }
 
 // Stop ends pulling and pushing.
-func (r *Replica) Stop(ctx context.Context) error { return r.duties.Stop(ctx) }
+func (r *Replica) Stop(ctx context.Context) error { return r.tasks.Stop(ctx) }
 
 // Publish merges items that this process wrote or was told first, and hands them
 // up.
@@ -85,7 +85,7 @@
 	}
 	r.mu.Unlock()
 	select {
-	case r.kick <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
@@ -96,32 +96,32 @@
 		r.adjustPullers()
 		select {
 		case <-ctx.Done():
-		case <-r.clock.After(pullRetry):
+		case <-r.clock.After(pullRetryDelay):
 		}
 	}
 }
 
 func (r *Replica) adjustPullers() {
 	links := r.links()
-	wanted := make(map[string][]member.Address, len(links.Follow))
-	for _, source := range links.Follow {
+	wanted := make(map[string][]member.Address, len(links.PullSources))
+	for _, source := range links.PullSources {
 		wanted[sourceKey(source, links.LocalOnly)] = source
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for key, cancel := range r.pulling {
+	for key, cancel := range r.pullers {
 		if wanted[key] == nil {
 			cancel()
-			delete(r.pulling, key)
+			delete(r.pullers, key)
 		}
 	}
 	for key, source := range wanted {
-		if _, running := r.pulling[key]; running {
+		if _, running := r.pullers[key]; running {
 			continue
 		}
-		pullCtx, cancel := context.WithCancel(r.duties.Context())
-		r.pulling[key] = cancel
-		r.duties.Go(func(context.Context) { r.follow(pullCtx, source, links.LocalOnly) })
+		pullCtx, cancel := context.WithCancel(r.tasks.Context())
+		r.pullers[key] = cancel
+		r.tasks.Go(func(context.Context) { r.pullSource(pullCtx, source, links.LocalOnly) })
 	}
 }
 
@@ -136,25 +136,25 @@
 	return key.String()
 }
 
-// follow reads from the first address of a source that answers.
-func (r *Replica) follow(ctx context.Context, source []member.Address, localOnly bool) {
+// pullSource reads from the first address of a source that answers.
+func (r *Replica) pullSource(ctx context.Context, source []member.Address, localOnly bool) {
 	for at := 0; ctx.Err() == nil; at = (at + 1) % len(source) {
-		err := r.followAddress(ctx, source[at], localOnly)
+		err := r.pullAddress(ctx, source[at], localOnly)
 		r.log.Debug().Str("source", string(source[at])).Err(err).Msg("pull failed")
 		select {
 		case <-ctx.Done():
-		case <-r.clock.After(pullRetry):
+		case <-r.clock.After(pullRetryDelay):
 		}
 	}
 }
 
-// followAddress returns when the address no longer answers. It reads what is new
+// pullAddress returns when the address no longer answers. It reads what is new
 // from here on and has the rest repaired, so that changing the source costs only
 // what differs.
-func (r *Replica) followAddress(ctx context.Context, address member.Address, localOnly bool) error {
-	request := &wire.PullRequest{WaitMilliseconds: pullWait.Milliseconds(), LocalOnly: localOnly, FromTail: true}
+func (r *Replica) pullAddress(ctx context.Context, address member.Address, localOnly bool) error {
+	request := &wire.PullRequest{WaitMilliseconds: maxPullWait.Milliseconds(), LocalOnly: localOnly, FromTail: true}
 	r.mu.Lock()
-	r.repaired = time.Time{}
+	r.lastRepair = time.Time{}
 	r.mu.Unlock()
 	for {
 		answer, err := r.pull(ctx, address, request)
@@ -169,13 +169,13 @@
 }
 
 func (r *Replica) pull(ctx context.Context, address member.Address, request *wire.PullRequest) (*wire.PullResponse, error) {
-	callCtx, cancel := context.WithTimeout(ctx, pullWait+pushTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, maxPullWait+pushTimeout)
 	defer cancel()
 	answer, err := wire.NewDRPCReplicaClient(r.peers.Conn(address)).Pull(callCtx, request)
 	if err != nil {
 		return nil, err
 	}
-	r.store.Apply(fromWire(answer.Items), state.OriginRemote)
+	r.store.Apply(itemsFromWire(answer.Items), state.OriginRemote)
 	return answer, nil
 }
 
@@ -183,9 +183,9 @@
 func (r *Replica) repairIfDue(ctx context.Context, address member.Address) error {
 	now := r.clock.Now()
 	r.mu.Lock()
-	due := now.Sub(r.repaired) >= repairInterval
+	due := now.Sub(r.lastRepair) >= repairInterval
 	if due {
-		r.repaired = now
+		r.lastRepair = now
 	}
 	r.mu.Unlock()
 	if !due {
@@ -206,7 +206,7 @@
 
 // repair reads one part of what differs and returns how much of it was new.
 func (r *Replica) repair(ctx context.Context, address member.Address, more *bool) (int, error) {
-	callCtx, cancel := context.WithTimeout(ctx, pullWait)
+	callCtx, cancel := context.WithTimeout(ctx, maxPullWait)
 	defer cancel()
 	request := &wire.RepairRequest{Digests: packDigests(r.store.Digests())}
 	answer, err := wire.NewDRPCReplicaClient(r.peers.Conn(address)).Repair(callCtx, request)
@@ -214,7 +214,7 @@
 		return 0, err
 	}
 	*more = answer.More
-	return len(r.store.Apply(fromWire(answer.Items), state.OriginRemote)), nil
+	return len(r.store.Apply(itemsFromWire(answer.Items), state.OriginRemote)), nil
 }
 
 // pushPending hands on what this process published until some relay has it.
@@ -223,12 +223,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.kick:
+		case <-r.wake:
 		}
 		for ctx.Err() == nil && !r.pushAll(ctx) {
 			select {
 			case <-ctx.Done():
-			case <-r.clock.After(pullRetry):
+			case <-r.clock.After(pullRetryDelay):
 			}
 		}
 	}
@@ -241,7 +241,7 @@
 	keys := r.pending
 	r.pending = make(map[string]bool)
 	r.mu.Unlock()
-	up := r.links().Up
+	up := r.links().PushTargets
 	if len(keys) == 0 || len(up) == 0 {
 		return true
 	}
@@ -253,7 +253,7 @@
 	}
 	for _, relay := range up {
 		callCtx, cancel := context.WithTimeout(ctx, pushTimeout)
-		_, err := wire.NewDRPCReplicaClient(r.peers.Conn(relay)).Push(callCtx, &wire.PushRequest{Items: toWire(items)})
+		_, err := wire.NewDRPCReplicaClient(r.peers.Conn(relay)).Push(callCtx, &wire.PushRequest{Items: itemsToWire(items)})
 		cancel()
 		if err == nil {
 			return true
@@ -278,24 +278,24 @@
 	if request.LocalOnly {
 		read = r.store.SinceLocal
 	}
-	wait := min(time.Duration(request.WaitMilliseconds)*time.Millisecond, pullWait)
+	wait := min(time.Duration(request.WaitMilliseconds)*time.Millisecond, maxPullWait)
 	deadline := r.clock.After(wait)
 	for {
 		changed := r.store.Changed()
-		batch := read(cursor, pullLimit)
+		batch := read(cursor, maxPullItems)
 		cursor = batch.Next
-		answer := &wire.PullResponse{Instance: cursor.Instance, Cursor: cursor.Sequence, Items: toWire(batch.Items)}
+		answer := &wire.PullResponse{Instance: cursor.Instance, Cursor: cursor.Sequence, Items: itemsToWire(batch.Items)}
 		if len(batch.Items) > 0 {
 			return answer, nil
 		}
 		select {
 		case <-changed:
-			r.clock.Sleep(pullGap)
+			r.clock.Sleep(pullBatchDelay)
 		case <-deadline:
 			return answer, nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-r.duties.Context().Done():
+		case <-r.tasks.Context().Done():
 			return nil, context.Canceled
 		}
 	}
@@ -304,7 +304,7 @@
 // Push takes another entry box's changes. A box that is no relay, though the
 // sender took it for one, hands them on.
 func (r *Replica) Push(_ context.Context, request *wire.PushRequest) (*wire.PushResponse, error) {
-	r.Publish(fromWire(request.Items)...)
+	r.Publish(itemsFromWire(request.Items)...)
 	return &wire.PushResponse{}, nil
 }
 
@@ -315,8 +315,8 @@
 	if err != nil {
 		return nil, err
 	}
-	items, more := r.store.Differing(digests, pullLimit)
-	return &wire.RepairResponse{Items: toWire(items), More: more}, nil
+	items, more := r.store.Differing(digests, maxPullItems)
+	return &wire.RepairResponse{Items: itemsToWire(items), More: more}, nil
 }
 
 const digestSize = 8
@@ -329,12 +329,12 @@
 	return packed
 }
 
-var errDigests = errors.New("digests have the wrong length")
+var errDigestLength = errors.New("digests have the wrong length")
 
 func unpackDigests(packed []byte) (state.Digests, error) {
 	var digests state.Digests
 	if len(packed) != digestSize*state.Buckets {
-		return digests, errDigests
+		return digests, errDigestLength
 	}
 	for i := range digests {
 		digests[i] = binary.LittleEndian.Uint64(packed[i*digestSize:])
@@ -342,7 +342,7 @@
 	return digests, nil
 }
 
-func toWire(items []state.Item) []*wire.Item {
+func itemsToWire(items []state.Item) []*wire.Item {
 	out := make([]*wire.Item, len(items))
 	for i, item := range items {
 		out[i] = &wire.Item{
@@ -353,7 +353,7 @@
 	return out
 }
 
-func fromWire(items []*wire.Item) []state.Item {
+func itemsFromWire(items []*wire.Item) []state.Item {
 	out := make([]state.Item, len(items))
 	for i, item := range items {
 		out[i] = state.Item{
--- a/internal/daemon/replica_test.go
+++ b/internal/daemon/replica_test.go
@@ -16,50 +16,50 @@
 )
 
 // listen makes a node answer other processes.
-func (n *node) listen(t *testing.T) {
+func (n *testNode) listen(t *testing.T) {
 	t.Helper()
 	mux := drpcmux.New()
 	require.NoError(t, wire.DRPCRegisterReplica(mux, n.replica))
 	n.address = listenPeers(t, mux)
 }
 
-// below are the links of an entry box with one relay above it.
-func below(relay *node) func() Links {
+// linksBelow are the links of an entry box with one relay above it.
+func linksBelow(relay *testNode) func() Links {
 	return func() Links {
-		return Links{Follow: [][]member.Address{{relay.address}}, Up: []member.Address{relay.address}}
+		return Links{PullSources: [][]member.Address{{relay.address}}, PushTargets: []member.Address{relay.address}}
 	}
 }
 
-func item(key string, major uint64) state.Item {
+func newItem(key string, major uint64) state.Item {
 	return state.Item{Key: key, Version: state.Version{Major: major}, Value: []byte(key)}
 }
 
 func TestChangesReachEveryEntryBoxThroughARelay(t *testing.T) {
-	relay := newNode(t, 1, noLinks)
+	relay := newTestNode(t, 1, noLinks)
 	relay.listen(t)
-	toRelay := below(relay)
-	first, second := newNode(t, 2, toRelay), newNode(t, 3, toRelay)
-	first.replica.Publish(item("a", 1))
+	toRelay := linksBelow(relay)
+	first, second := newTestNode(t, 2, toRelay), newTestNode(t, 3, toRelay)
+	first.replica.Publish(newItem("a", 1))
 	eventually(t, func() bool { _, ok := second.store.Get("a"); return ok }, "the change arrives")
 }
 
-func TestChangeWaitsForARelayThatIsAway(t *testing.T) {
+func TestChangeIsPushedOnceRelayIsReachable(t *testing.T) {
 	var address atomic.Value
 	address.Store(member.Address("127.0.0.1:1"))
-	n := newNode(t, 1, func() Links { return Links{Up: []member.Address{address.Load().(member.Address)}} })
-	n.replica.Publish(item("a", 1))
-	relay := newNode(t, 2, noLinks)
+	n := newTestNode(t, 1, func() Links { return Links{PushTargets: []member.Address{address.Load().(member.Address)}} })
+	n.replica.Publish(newItem("a", 1))
+	relay := newTestNode(t, 2, noLinks)
 	relay.listen(t)
 	address.Store(relay.address)
 	eventually(t, func() bool { _, ok := relay.store.Get("a"); return ok }, "the change is not lost")
 }
 
-func TestOldPeerThatComesBackRevertsNothing(t *testing.T) {
-	old := newNode(t, 1, noLinks)
-	old.store.Apply([]state.Item{item("row", 1), item("only-old", 1)}, state.OriginLocal)
+func TestReturningPeerWithOldStateRevertsNothing(t *testing.T) {
+	old := newTestNode(t, 1, noLinks)
+	old.store.Apply([]state.Item{newItem("row", 1), newItem("only-old", 1)}, state.OriginLocal)
 	old.listen(t)
-	n := newNode(t, 2, below(old))
-	n.replica.Publish(item("row", 2))
+	n := newTestNode(t, 2, linksBelow(old))
+	n.replica.Publish(newItem("row", 2))
 	eventually(t, func() bool { _, ok := n.store.Get("only-old"); return ok }, "the old peer is heard")
 	held, _ := n.store.Get("row")
 	require.Equal(t, uint64(2), held.Version.Major)
@@ -67,76 +67,78 @@
 }
 
 func TestLargeStateArrivesInParts(t *testing.T) {
-	relay := newNode(t, 1, noLinks)
-	items := make([]state.Item, 0, 3*pullLimit)
-	for i := range 3 * pullLimit {
+	relay := newTestNode(t, 1, noLinks)
+	items := make([]state.Item, 0, 3*maxPullItems)
+	for i := range 3 * maxPullItems {
 		items = append(items, state.Item{Key: string(rune('a'+i%26)) + time.Duration(i).String(), Version: state.Version{Major: 1}})
 	}
 	relay.store.Apply(items, state.OriginLocal)
 	relay.listen(t)
-	n := newNode(t, 2, below(relay))
+	n := newTestNode(t, 2, linksBelow(relay))
 	eventually(t, func() bool { return n.store.Len() == relay.store.Len() }, "everything arrives")
 }
 
-func TestReaderThatChangesItsSourceIsRepairedWithoutReadingEverything(t *testing.T) {
-	first, second := newNode(t, 1, noLinks), newNode(t, 2, noLinks)
+func TestSourceChangeRepairsOnlyDifferences(t *testing.T) {
+	first, second := newTestNode(t, 1, noLinks), newTestNode(t, 2, noLinks)
 	first.listen(t)
 	second.listen(t)
 	var common []state.Item
 	for i := range 2000 {
-		common = append(common, item(fmt.Sprint("common-", i), 1))
+		common = append(common, newItem(fmt.Sprint("common-", i), 1))
 	}
 	first.store.Apply(common, state.OriginLocal)
 	second.store.Apply(common, state.OriginLocal)
-	second.store.Apply([]state.Item{item("missed", 1)}, state.OriginLocal)
+	second.store.Apply([]state.Item{newItem("missed", 1)}, state.OriginLocal)
 	var source atomic.Value
 	source.Store(first)
-	n := newNode(t, 3, func() Links { return below(source.Load().(*node))() })
+	n := newTestNode(t, 3, func() Links { return linksBelow(source.Load().(*testNode))() })
 	eventually(t, func() bool { return n.store.Len() == len(common) }, "the first source is read")
 	source.Store(second)
 	eventually(t, func() bool { _, ok := n.store.Get("missed"); return ok }, "what it missed is repaired")
-	differing, _ := second.store.Differing(first.store.Digests(), pullLimit)
+	differing, _ := second.store.Differing(first.store.Digests(), maxPullItems)
 	require.Less(t, len(differing), 100, "one bucket differs, not all")
 }
 
-func TestSourceThatFailsIsReplacedByTheNext(t *testing.T) {
-	relay := newNode(t, 1, noLinks)
+func TestFailedSourceIsReplacedByNext(t *testing.T) {
+	relay := newTestNode(t, 1, noLinks)
 	relay.listen(t)
-	n := newNode(t, 2, func() Links { return Links{Follow: [][]member.Address{{"127.0.0.1:1", relay.address}}} })
-	relay.replica.Publish(item("a", 1))
+	n := newTestNode(t, 2, func() Links { return Links{PullSources: [][]member.Address{{"127.0.0.1:1", relay.address}}} })
+	relay.replica.Publish(newItem("a", 1))
 	eventually(t, func() bool { _, ok := n.store.Get("a"); return ok }, "the second address is read")
 }
 
 // A relay hands other relays only what came up to it, so that an item crosses
 // between two relays once.
-func TestRelaysDoNotHandOnWhatTheyReadFromEachOther(t *testing.T) {
-	one := newNode(t, 1, noLinks)
+func TestRelaysDoNotForwardItemsFromOtherRelays(t *testing.T) {
+	one := newTestNode(t, 1, noLinks)
 	one.listen(t)
-	two := newNode(t, 2, func() Links { return Links{IsRelay: true, LocalOnly: true, Follow: [][]member.Address{{one.address}}} })
+	two := newTestNode(t, 2, func() Links {
+		return Links{IsRelay: true, LocalOnly: true, PullSources: [][]member.Address{{one.address}}}
+	})
 	two.listen(t)
-	one.replica.Publish(item("a", 1))
+	one.replica.Publish(newItem("a", 1))
 	eventually(t, func() bool { _, ok := two.store.Get("a"); return ok }, "it crosses")
 	require.Empty(t, two.store.SinceLocal(state.Cursor{}, 0).Items)
-	two.replica.Publish(item("b", 1))
+	two.replica.Publish(newItem("b", 1))
 	require.Len(t, two.store.SinceLocal(state.Cursor{}, 0).Items, 1)
 }
 
-// heartOf starts a heart that beats to a node's monitor.
-func heartOf(t *testing.T, clock clockwork.Clock, record member.Record, monitors func() []member.Address) *Heart {
+// newTestHeartbeater starts a heart that beats to a node's monitor.
+func newTestHeartbeater(t *testing.T, clock clockwork.Clock, record member.Record, monitors func() []member.Address) *Heartbeater {
 	t.Helper()
-	h := NewHeart(record, HeartOptions{
-		Peers: newTestPeers(t), Clock: clock, Log: quiet(), Interval: 20 * time.Millisecond, Monitors: monitors,
-		Fill: func(*wire.HeartbeatRequest) {}, Answered: func(member.Address, *wire.HeartbeatResponse) {},
+	h := NewHeartbeater(record, HeartbeaterOptions{
+		Peers: newTestPeerPool(t), Clock: clock, Log: nopLogger(), Interval: 20 * time.Millisecond, Monitors: monitors,
+		FillRequest: func(*wire.HeartbeatRequest) {}, OnResponse: func(member.Address, *wire.HeartbeatResponse) {},
 	})
 	t.Cleanup(func() { stopService(t, h) })
 	return h
 }
 
-// monitored is a node with a monitor that others can reach.
-func monitored(t *testing.T, instance uint64, silence time.Duration) *node {
+// newMonitoredNode is a node with a monitor that others can reach.
+func newMonitoredNode(t *testing.T, instance uint64, silence time.Duration) *testNode {
 	t.Helper()
-	n := newNode(t, instance, noLinks)
-	m := NewMonitor("", n.view, n.replica, newTestPeers(t), clockwork.NewRealClock(), quiet(), NewMetrics(), silence)
+	n := newTestNode(t, instance, noLinks)
+	m := NewMonitor("", n.view, n.replica, newTestPeerPool(t), clockwork.NewRealClock(), nopLogger(), NewMetrics(), silence)
 	t.Cleanup(func() { stopService(t, m) })
 	mux := drpcmux.New()
 	require.NoError(t, wire.DRPCRegisterMonitor(mux, m))
@@ -148,24 +150,24 @@
 	return member.Record{Box: box, Role: member.RoleAgent, Region: "kita", FailureDomain: "kita-a", Peers: "127.0.0.1:1"}
 }
 
-func hasStatus(n *node, status member.Status) func() bool {
+func hasStatus(n *testNode, status member.Status) func() bool {
 	return func() bool { record, ok := n.view.Member("b"); return ok && record.Status == status }
 }
 
-func TestBoxThatStopsBeatingIsMarkedSilentAndComesBack(t *testing.T) {
-	n := monitored(t, 1, 100*time.Millisecond)
+func TestBoxWithoutHeartbeatsIsMarkedSilentUntilRestart(t *testing.T) {
+	n := newMonitoredNode(t, 1, 100*time.Millisecond)
 	to := func() []member.Address { return []member.Address{n.address} }
-	h := heartOf(t, clockwork.NewRealClock(), agentRecord("b"), to)
+	h := newTestHeartbeater(t, clockwork.NewRealClock(), agentRecord("b"), to)
 	eventually(t, hasStatus(n, member.StatusUp), "the box is known")
 	stopService(t, h)
 	eventually(t, hasStatus(n, member.StatusSilent), "the box is marked")
-	heartOf(t, clockwork.NewRealClock(), agentRecord("b"), to)
+	newTestHeartbeater(t, clockwork.NewRealClock(), agentRecord("b"), to)
 	eventually(t, hasStatus(n, member.StatusUp), "its next start is up")
 }
 
-func TestWrongMarkIsRefuted(t *testing.T) {
-	n := monitored(t, 1, time.Hour)
-	heartOf(t, clockwork.NewRealClock(), agentRecord("b"), func() []member.Address { return []member.Address{n.address} })
+func TestWrongSilentMarkIsRefuted(t *testing.T) {
+	n := newMonitoredNode(t, 1, time.Hour)
+	newTestHeartbeater(t, clockwork.NewRealClock(), agentRecord("b"), func() []member.Address { return []member.Address{n.address} })
 	eventually(t, hasStatus(n, member.StatusUp), "the box is known")
 	record, _ := n.view.Member("b")
 	record.Status = member.StatusSilent
@@ -178,15 +180,15 @@
 	}, "the box writes a newer record")
 }
 
-func TestBoxWhoseClockWasSetBackIsStillHeard(t *testing.T) {
-	n := monitored(t, 1, time.Hour)
+func TestBoxWithClockSetBackGetsHigherIncarnation(t *testing.T) {
+	n := newMonitoredNode(t, 1, time.Hour)
 	to := func() []member.Address { return []member.Address{n.address} }
-	ahead := heartOf(t, clockwork.NewRealClock(), agentRecord("b"), to)
+	ahead := newTestHeartbeater(t, clockwork.NewRealClock(), agentRecord("b"), to)
 	eventually(t, hasStatus(n, member.StatusUp), "the box is known")
 	earlier := ahead.Record().Incarnation
 	stopService(t, ahead)
 	back := clockwork.NewFakeClockAt(time.Now().Add(-24 * time.Hour))
-	restarted := heartOf(t, back, agentRecord("b"), to)
+	restarted := newTestHeartbeater(t, back, agentRecord("b"), to)
 	eventually(t, func() bool {
 		record, _ := n.view.Member("b")
 		return record.Incarnation > earlier && record.Incarnation == restarted.Record().Incarnation
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -16,10 +16,10 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-var requestIDForm = regexp.MustCompile(`^[\x21-\x7e]{1,128}$`)
+var requestIDPattern = regexp.MustCompile(`^[\x21-\x7e]{1,128}$`)
 
 // readRequest reads the headers. The exchange always has an id.
-func (c *Callers) readRequest(e echo.Context) (*exchange, *Problem) {
+func (c *CallerServer) readRequest(e echo.Context) (*exchange, *Problem) {
 	r := e.Request()
 	x := &exchange{
 		id:      route.RequestID(r.Header.Get(headerRequestID)),
@@ -27,11 +27,11 @@
 		service: member.Service(e.Param("service")),
 		request: r, writer: e.Response(), arrived: c.clock.Now(),
 	}
-	x.named = x.id != ""
+	x.hasCallerID = x.id != ""
 	if x.id == "" {
 		x.id = route.RequestID(rand.Text())
 	}
-	if !requestIDForm.MatchString(string(x.id)) {
+	if !requestIDPattern.MatchString(string(x.id)) {
 		x.id = route.RequestID(rand.Text())
 		return x, &Problem{Status: http.StatusBadRequest, Detail: headerRequestID + ": want 1 to 128 printable characters without spaces"}
 	}
@@ -40,14 +40,14 @@
 	if r.URL.RawQuery != "" {
 		x.path += "?" + r.URL.RawQuery
 	}
-	if detail := c.readOptions(x); detail != "" {
+	if detail := c.parseHeaders(x); detail != "" {
 		return x, &Problem{Status: http.StatusBadRequest, Detail: detail}
 	}
 	return x, nil
 }
 
-// readOptions returns what is wrong with a header, with its name.
-func (c *Callers) readOptions(x *exchange) string {
+// parseHeaders returns what is wrong with a header, with its name.
+func (c *CallerServer) parseHeaders(x *exchange) string {
 	header := x.request.Header
 	switch text := header.Get(headerRepeatable); text {
 	case "":
@@ -84,9 +84,9 @@
 	return false
 }
 
-// place finds what the request is for: a model in the version that is in force
+// resolveVersion finds what the request is for: a model in the version that is in force
 // for the group, or a plain service.
-func (c *Callers) place(x *exchange) (route.ServiceVersion, *refusal) {
+func (c *CallerServer) resolveVersion(x *exchange) (route.ServiceVersion, *refusal) {
 	model := table.Model(x.service)
 	if !c.view.HasModel(model) {
 		place := route.ServiceVersion{Service: x.service}
@@ -95,7 +95,7 @@
 		}
 		return place, nil
 	}
-	row, ok := c.view.Row(table.Key{Group: x.group, Model: model})
+	row, ok := c.view.RowPlan(table.Key{Group: x.group, Model: model})
 	if !ok {
 		detail := fmt.Sprintf("the table has no row for group %q and model %q; name the group in %s", x.group, model, headerGroup)
 		return route.ServiceVersion{}, &refusal{reasonUnknownGroup, detail, time.Second}
--- a/internal/daemon/reserve.go
+++ b/internal/daemon/socket.go
@@ -8,15 +8,15 @@
 	"syscall"
 )
 
-// reservation is an address that is bound but not listened on yet: nobody else
+// boundSocket is an address that is bound but not listened on yet: nobody else
 // can take it, and connections to it are refused.
-type reservation struct {
+type boundSocket struct {
 	fd      int
 	address string
 }
 
-// reserve binds an IP address with a port; port 0 takes a free one.
-func reserve(address string) (*reservation, error) {
+// bindSocket binds an IP address with a port; port 0 takes a free one.
+func bindSocket(address string) (*boundSocket, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, fmt.Errorf("reading the address: %w", err)
@@ -29,7 +29,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("opening a socket: %w", err)
 	}
-	r := &reservation{fd: fd}
+	r := &boundSocket{fd: fd}
 	if err := r.bind(parsed, name); err != nil {
 		_ = syscall.Close(fd)
 		return nil, fmt.Errorf("binding %s: %w", address, err)
@@ -37,7 +37,7 @@
 	return r, nil
 }
 
-func (r *reservation) bind(wanted netip.AddrPort, name syscall.Sockaddr) error {
+func (r *boundSocket) bind(wanted netip.AddrPort, name syscall.Sockaddr) error {
 	// A fixed port must be had again right after a restart. A free one must not
 	// be shared, and is not, without the option.
 	reuse := 0
@@ -66,7 +66,7 @@
 }
 
 // listen turns the reservation into a listener. It is called once.
-func (r *reservation) listen() (net.Listener, error) {
+func (r *boundSocket) listen() (net.Listener, error) {
 	// Its connections must not keep the port from the next start.
 	if err := syscall.SetsockoptInt(r.fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return nil, fmt.Errorf("setting up %s: %w", r.address, err)
--- a/internal/daemon/steps.go
+++ b/internal/daemon/steps.go
@@ -24,14 +24,14 @@
 	listenStep{},
 	peersStep{},
 	entryStateStep{},
-	entryHeartStep{},
-	entryDutiesStep{},
-	agentHeartStep{},
+	entryHeartbeatStep{},
+	entryServicesStep{},
+	agentHeartbeatStep{},
 	agentWeightsStep{},
-	operatorsStep{},
+	operatorServerStep{},
 	peerServerStep{},
-	callersStep{},
-	gateStep{},
+	callerServerStep{},
+	backendProxyStep{},
 }
 
 // everyRole is embedded by steps that every role needs.
@@ -61,15 +61,15 @@
 	ctx := context.Background()
 	var config net.ListenConfig
 	var err error
-	if p.peersAt, err = config.Listen(ctx, "tcp", p.settings.Listen.Peers); err != nil {
+	if p.peerListener, err = config.Listen(ctx, "tcp", p.settings.Listen.Peers); err != nil {
 		return fmt.Errorf("listening for peers: %w", err)
 	}
-	if p.operators, err = config.Listen(ctx, "tcp", p.settings.Listen.Operators); err != nil {
+	if p.operatorListener, err = config.Listen(ctx, "tcp", p.settings.Listen.Operators); err != nil {
 		return fmt.Errorf("listening for operators: %w", err)
 	}
 	if p.settings.Role == settings.RoleEntry {
 		// Callers are turned away until the process is ready.
-		if p.callers, err = reserve(p.settings.Listen.Callers); err != nil {
+		if p.callerSocket, err = bindSocket(p.settings.Listen.Callers); err != nil {
 			return fmt.Errorf("reserving the callers' address: %w", err)
 		}
 	}
@@ -82,8 +82,8 @@
 func (peersStep) String() string { return "peers" }
 
 func (peersStep) Run(p *Process) error {
-	p.peers = NewPeers()
-	return p.kernel.Register(p.peers)
+	p.peers = NewPeerPool()
+	return p.services.Register(p.peers)
 }
 
 // entryStateStep makes the replicated state and what keeps it in step.
@@ -94,7 +94,7 @@
 func (entryStateStep) Run(p *Process) error {
 	store := state.NewStore(uint64(p.options.Clock.Now().UnixNano()))
 	view := NewView(store, member.Region(p.settings.Region), p.options.Log)
-	if err := p.kernel.Register(view); err != nil {
+	if err := p.services.Register(view); err != nil {
 		return err
 	}
 	p.overlay = NewOverlay(view, p.record(member.RoleEntry), p.seeds)
@@ -102,24 +102,24 @@
 	if err := wire.DRPCRegisterReplica(p.mux, replica); err != nil {
 		return err
 	}
-	return p.kernel.Register(replica)
+	return p.services.Register(replica)
 }
 
-// replicated finds the two services that hold an entry box's replicated state.
-func (p *Process) replicated() (*View, *Replica, error) {
-	view, err := kernel.Find[*View](p.kernel, "view")
+// viewAndReplica finds the two services that hold an entry box's replicated state.
+func (p *Process) viewAndReplica() (*View, *Replica, error) {
+	view, err := kernel.Find[*View](p.services, "view")
 	if err != nil {
 		return nil, nil, err
 	}
-	replica, err := kernel.Find[*Replica](p.kernel, "replica")
+	replica, err := kernel.Find[*Replica](p.services, "replica")
 	return view, replica, err
 }
 
 // seeds are the entry boxes to begin with: those of the settings, and those that
 // the platform lists.
 func (p *Process) seeds() []member.Address {
-	seeds := p.entryAddresses()
-	lister, err := kernel.Find[*Lister](p.kernel, "lister")
+	seeds := p.configuredEntries()
+	lister, err := kernel.Find[*BoxListPoller](p.services, "lister")
 	if err != nil {
 		return seeds
 	}
@@ -131,18 +131,18 @@
 	return seeds
 }
 
-// entryHeartStep publishes the entry box's own record.
-type entryHeartStep struct{ entryOnly }
+// entryHeartbeatStep publishes the entry box's own record.
+type entryHeartbeatStep struct{ entryOnly }
 
-func (entryHeartStep) String() string { return "entry heart" }
+func (entryHeartbeatStep) String() string { return "entry heart" }
 
-func (entryHeartStep) Run(p *Process) error {
-	view, replica, err := p.replicated()
+func (entryHeartbeatStep) Run(p *Process) error {
+	view, replica, err := p.viewAndReplica()
 	if err != nil {
 		return err
 	}
 	record := p.record(member.RoleEntry)
-	p.heart = NewHeart(record, HeartOptions{
+	p.heartbeater = NewHeartbeater(record, HeartbeaterOptions{
 		Peers: p.peers, Clock: p.options.Clock, Log: p.options.Log,
 		Interval: time.Duration(p.settings.Peers.Heartbeat),
 		Monitors: func() []member.Address {
@@ -151,9 +151,9 @@
 			}
 			return p.seeds()
 		},
-		Fill:     func(*wire.HeartbeatRequest) {},
-		Answered: func(member.Address, *wire.HeartbeatResponse) {},
-		Changed: func(record member.Record) {
+		FillRequest: func(*wire.HeartbeatRequest) {},
+		OnResponse:  func(member.Address, *wire.HeartbeatResponse) {},
+		OnChange: func(record member.Record) {
 			item, err := record.Item()
 			if err != nil {
 				p.options.Log.Error().Err(err).Msg("own record cannot be published")
@@ -162,17 +162,17 @@
 			replica.Publish(item)
 		},
 	})
-	return p.kernel.Register(p.heart)
+	return p.services.Register(p.heartbeater)
 }
 
-// entryDutiesStep starts the monitor, the configuration, the lister and the
+// entryServicesStep starts the monitor, the configuration, the lister and the
 // planner.
-type entryDutiesStep struct{ entryOnly }
+type entryServicesStep struct{ entryOnly }
 
-func (entryDutiesStep) String() string { return "entry duties" }
+func (entryServicesStep) String() string { return "entry duties" }
 
-func (entryDutiesStep) Run(p *Process) error {
-	view, replica, err := p.replicated()
+func (entryServicesStep) Run(p *Process) error {
+	view, replica, err := p.viewAndReplica()
 	if err != nil {
 		return err
 	}
@@ -185,30 +185,30 @@
 	list := provider.NewBoxList(p.settings.Platform.BoxList, p.client)
 	for _, service := range []kernel.Service{
 		monitor,
-		NewConfiguration(kv, p.sources(), replica, clock, log, p.metrics, isRelay),
-		NewLister(list, view, replica, clock, log, isRelay),
+		NewTableStore(kv, p.sources(), replica, clock, log, p.metrics, isRelay),
+		NewBoxListPoller(list, view, replica, clock, log, isRelay),
 		NewPlanner(member.BoxID(p.settings.Box), kv, p.sources(), view, replica, clock, log, p.metrics, isRelay,
 			time.Duration(p.settings.Peers.Heartbeat)),
 	} {
-		if err := p.kernel.Register(service); err != nil {
+		if err := p.services.Register(service); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// agentHeartStep starts the agent's heartbeats.
-type agentHeartStep struct{ agentOnly }
+// agentHeartbeatStep starts the agent's heartbeats.
+type agentHeartbeatStep struct{ agentOnly }
 
-func (agentHeartStep) String() string { return "agent heart" }
+func (agentHeartbeatStep) String() string { return "agent heart" }
 
-// toldEntries remembers the entry boxes that monitors named last.
-type toldEntries struct {
+// knownEntries remembers the entry boxes that monitors named last.
+type knownEntries struct {
 	mu      sync.Mutex
 	entries []member.Address
 }
 
-func (t *toldEntries) set(entries []string) {
+func (t *knownEntries) set(entries []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.entries = t.entries[:0:0]
@@ -217,8 +217,8 @@
 	}
 }
 
-// with returns the entries told, then those of the settings.
-func (t *toldEntries) with(seeds []member.Address) []member.Address {
+// withSeeds returns the entries told, then those of the settings.
+func (t *knownEntries) withSeeds(seeds []member.Address) []member.Address {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	all := slices.Clone(t.entries)
@@ -230,7 +230,7 @@
 	return all
 }
 
-func (agentHeartStep) Run(p *Process) error {
+func (agentHeartbeatStep) Run(p *Process) error {
 	record := p.record(member.RoleAgent)
 	for _, model := range p.settings.Agent.Engine.Models {
 		record.Models = append(record.Models, table.Model(model))
@@ -241,31 +241,31 @@
 	for _, service := range p.settings.Agent.Services {
 		record.Services = append(record.Services, member.Service(service.Name))
 	}
-	told := &toldEntries{}
-	p.heart = NewHeart(record, HeartOptions{
+	told := &knownEntries{}
+	p.heartbeater = NewHeartbeater(record, HeartbeaterOptions{
 		Peers: p.peers, Clock: p.options.Clock, Log: p.options.Log,
 		Interval: time.Duration(p.settings.Peers.Heartbeat),
-		Monitors: func() []member.Address { return told.with(p.entryAddresses()) },
-		Fill: func(request *wire.HeartbeatRequest) {
-			if copier, err := kernel.Find[*Copier](p.kernel, "copier"); err == nil {
-				copier.Fill(request)
+		Monitors: func() []member.Address { return told.withSeeds(p.configuredEntries()) },
+		FillRequest: func(request *wire.HeartbeatRequest) {
+			if copier, err := kernel.Find[*Loader](p.services, "copier"); err == nil {
+				copier.FillHeartbeat(request)
 			}
 		},
-		Answered: func(_ member.Address, answer *wire.HeartbeatResponse) {
+		OnResponse: func(_ member.Address, answer *wire.HeartbeatResponse) {
 			if len(answer.Entries) > 0 {
 				told.set(answer.Entries)
 			}
-			if copier, err := kernel.Find[*Copier](p.kernel, "copier"); err == nil {
-				copier.Answered(answer)
+			if copier, err := kernel.Find[*Loader](p.services, "copier"); err == nil {
+				copier.HandleResponse(answer)
 			}
 		},
 	})
-	return p.kernel.Register(p.heart)
+	return p.services.Register(p.heartbeater)
 }
 
-// soonestPart shortens the wait of second drawers where being live soon goes
+// soonestLiveDivisor shortens the wait of second drawers where being live soon goes
 // before bytes from the origin.
-const soonestPart = 2
+const soonestLiveDivisor = 2
 
 // agentWeightsStep starts the gate, the copier and the chunk server.
 type agentWeightsStep struct{ agentOnly }
@@ -278,8 +278,8 @@
 		services[member.Service(service.Name)] = service.URL
 	}
 	engine := p.settings.Agent.Engine.URL
-	p.gate = NewGate(engine, services, p.peers, p.heart.Record, p.options.Clock, p.options.Log, p.metrics)
-	if err := wire.DRPCRegisterBackend(p.mux, p.gate); err != nil {
+	p.backendProxy = NewBackendProxy(engine, services, p.peers, p.heartbeater.Record, p.options.Clock, p.options.Log, p.metrics)
+	if err := wire.DRPCRegisterBackend(p.mux, p.backendProxy); err != nil {
 		return err
 	}
 	store := weights.NewMemoryStore(p.settings.Weights.MemoryLimit)
@@ -289,48 +289,48 @@
 	picker := weights.DefaultPickerOptions()
 	picker.RankDelay = time.Duration(p.settings.Weights.OriginFetchWait)
 	if p.settings.Weights.Prefer == settings.PreferSoonestLive {
-		picker.RankDelay /= soonestPart
+		picker.RankDelay /= soonestLiveDivisor
 	}
-	copier := NewCopier(CopierOptions{
+	copier := NewLoader(LoaderOptions{
 		Self: member.BoxID(p.settings.Box), Peers: p.peers, Store: store, Sources: p.sources(),
-		Engine: provider.NewEngine(engine, p.client), Gate: p.gate, Heart: p.heart,
+		Engine: provider.NewEngine(engine, p.client), Proxy: p.backendProxy, Heartbeater: p.heartbeater,
 		Clock: p.options.Clock, Log: p.options.Log, Metrics: p.metrics, Picker: picker,
 	})
-	return p.kernel.Register(copier)
+	return p.services.Register(copier)
 }
 
-// operatorsStep answers operators.
-type operatorsStep struct{ everyRole }
+// operatorServerStep answers operators.
+type operatorServerStep struct{ everyRole }
 
-func (operatorsStep) String() string { return "operators" }
+func (operatorServerStep) String() string { return "operators" }
 
-func (operatorsStep) Run(p *Process) error {
-	options := OperatorsOptions{
+func (operatorServerStep) Run(p *Process) error {
+	options := OperatorServerOptions{
 		TokenFile: p.settings.Operators.TokenFile, Metrics: p.metrics, Clock: p.options.Clock, Log: p.options.Log,
-		EntriesTTL: time.Duration(p.settings.Requests.EntriesTTL), Self: p.heart.Record,
+		EntriesTTL: time.Duration(p.settings.Requests.EntriesTTL), Self: p.heartbeater.Record,
 		Ready: func() (bool, string) { return true, "" },
 	}
 	if p.settings.Role == settings.RoleEntry {
-		view, err := kernel.Find[*View](p.kernel, "view")
+		view, err := kernel.Find[*View](p.services, "view")
 		if err != nil {
 			return err
 		}
-		if options.Configuration, err = kernel.Find[*Configuration](p.kernel, "configuration"); err != nil {
+		if options.Table, err = kernel.Find[*TableStore](p.services, "configuration"); err != nil {
 			return err
 		}
 		options.View = view
 		options.Ready = func() (bool, string) {
-			if view.Head().Epoch == 0 {
+			if view.PlanHead().Epoch == 0 {
 				return false, "no plan is in force yet"
 			}
 			return true, ""
 		}
 	}
-	operators, err := NewOperators(p.operators, options)
+	operators, err := NewOperatorServer(p.operatorListener, options)
 	if err != nil {
 		return err
 	}
-	return p.kernel.Register(operators)
+	return p.services.Register(operators)
 }
 
 // peerServerStep begins to answer other processes.
@@ -339,46 +339,46 @@
 func (peerServerStep) String() string { return "peer server" }
 
 func (peerServerStep) Run(p *Process) error {
-	if err := wire.DRPCRegisterProbe(p.mux, probe{p.heart}); err != nil {
+	if err := wire.DRPCRegisterProbe(p.mux, probeServer{p.heartbeater}); err != nil {
 		return err
 	}
-	return p.kernel.Register(NewPeerServer(p.peersAt, p.mux, p.options.Log))
+	return p.services.Register(NewPeerServer(p.peerListener, p.mux, p.options.Log))
 }
 
-// probe tells that the process runs.
-type probe struct{ heart *Heart }
+// probeServer tells that the process runs.
+type probeServer struct{ heartbeater *Heartbeater }
 
 // Alive answers a monitor that has not heard from this box.
-func (p probe) Alive(context.Context, *wire.AliveRequest) (*wire.AliveResponse, error) {
-	record := p.heart.Record()
+func (p probeServer) Alive(context.Context, *wire.AliveRequest) (*wire.AliveResponse, error) {
+	record := p.heartbeater.Record()
 	return &wire.AliveResponse{Box: string(record.Box), Incarnation: uint64(record.Incarnation)}, nil
 }
 
-// callersStep begins to answer callers.
-type callersStep struct{ entryOnly }
+// callerServerStep begins to answer callers.
+type callerServerStep struct{ entryOnly }
 
-func (callersStep) String() string { return "callers" }
+func (callerServerStep) String() string { return "callers" }
 
-func (callersStep) Run(p *Process) error {
-	view, err := kernel.Find[*View](p.kernel, "view")
+func (callerServerStep) Run(p *Process) error {
+	view, err := kernel.Find[*View](p.services, "view")
 	if err != nil {
 		return err
 	}
-	return p.kernel.Register(NewCallers(CallersOptions{
-		Listen: p.callers.listen,
-		Ready:  func() bool { return view.Head().Epoch != 0 },
-		Opened: func() {
-			p.heart.Update(func(record *member.Record) { record.Callers = member.Address(p.callers.address) })
+	return p.services.Register(NewCallerServer(CallerServerOptions{
+		Listen: p.callerSocket.listen,
+		Ready:  func() bool { return view.PlanHead().Epoch != 0 },
+		OnListening: func() {
+			p.heartbeater.Update(func(record *member.Record) { record.Callers = member.Address(p.callerSocket.address) })
 		},
 		Settings: p.settings.Requests, Region: member.Region(p.settings.Region), View: view, Peers: p.peers,
 		Clock: p.options.Clock, Log: p.options.Log, Metrics: p.metrics,
 	}))
 }
 
-// gateStep registers the gate last, so that it is the first to stop and waits
+// backendProxyStep registers the gate last, so that it is the first to stop and waits
 // for the requests in progress while all else still runs.
-type gateStep struct{ agentOnly }
+type backendProxyStep struct{ agentOnly }
 
-func (gateStep) String() string { return "gate" }
+func (backendProxyStep) String() string { return "gate" }
 
-func (gateStep) Run(p *Process) error { return p.kernel.Register(p.gate) }
+func (backendProxyStep) Run(p *Process) error { return p.services.Register(p.backendProxy) }
--- a/internal/daemon/swarm.go
+++ b/internal/daemon/swarm.go
@@ -11,7 +11,7 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-func (c *Copier) takeSwarms(swarms []*wire.Swarm) {
+func (c *Loader) updateSwarms(swarms []*wire.Swarm) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, swarm := range swarms {
@@ -19,28 +19,28 @@
 		if err != nil {
 			continue
 		}
-		if job, ok := c.copies[digest]; ok {
-			job.takeSwarm(swarm)
+		if job, ok := c.jobs[digest]; ok {
+			job.updateSwarm(swarm)
 		}
 	}
 }
 
-func (j *copyJob) takeSwarm(swarm *wire.Swarm) {
+func (j *versionJob) updateSwarm(swarm *wire.Swarm) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.neighbours = j.takePeers(swarm.Neighbours)
-	if swarm.DrawersHash != j.drawerHash {
-		j.drawers, j.drawerHash = j.takePeers(swarm.Drawers), swarm.DrawersHash
+	j.neighbours = j.addPeers(swarm.Neighbours)
+	if swarm.DrawersHash != j.originFetchersHash {
+		j.originFetchers, j.originFetchersHash = j.addPeers(swarm.Drawers), swarm.DrawersHash
 	}
-	j.swarmed = true
+	j.hasSwarm = true
 	select {
-	case j.updated <- struct{}{}:
+	case j.swarmUpdated <- struct{}{}:
 	default:
 	}
 }
 
-// takePeers remembers the peers' addresses.
-func (j *copyJob) takePeers(told []*wire.SwarmPeer) []weights.Peer {
+// addPeers remembers the peers' addresses.
+func (j *versionJob) addPeers(told []*wire.SwarmPeer) []weights.Peer {
 	peers := make([]weights.Peer, 0, len(told))
 	for _, peer := range told {
 		j.addresses[peer.Box] = member.Address(peer.Address)
@@ -49,7 +49,7 @@
 	return peers
 }
 
-func (j *copyJob) address(box string) (member.Address, bool) {
+func (j *versionJob) address(box string) (member.Address, bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	address, ok := j.addresses[box]
@@ -58,8 +58,8 @@
 
 // fetchManifest asks neighbours first. The source is asked at once by the first
 // in the order of drawers, later by the others, so that it gives few copies.
-func (c *Copier) fetchManifest(ctx context.Context, job *copyJob) (*weights.Manifest, error) {
-	if manifest, ok := c.options.Store.Manifest(job.weights.Manifest); ok {
+func (c *Loader) fetchManifest(ctx context.Context, job *versionJob) (*weights.Manifest, error) {
+	if manifest, ok := c.options.Store.Manifest(job.pinned.Manifest); ok {
 		return manifest, nil
 	}
 	started := c.options.Clock.Now()
@@ -67,7 +67,7 @@
 		if manifest, ok := c.manifestFromNeighbours(ctx, job); ok {
 			return manifest, nil
 		}
-		if rank, known := job.rank(string(c.options.Self)); known {
+		if rank, known := job.originFetchRank(string(c.options.Self)); known {
 			due := started.Add(time.Duration(rank) * c.options.Picker.RankDelay)
 			if !c.options.Clock.Now().Before(due) {
 				return c.manifestFromSource(ctx, job)
@@ -75,39 +75,39 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-job.updated:
+		case <-job.swarmUpdated:
 		case <-c.options.Clock.After(holdingsInterval):
 		}
 	}
 	return nil, ctx.Err()
 }
 
-// rank is the box's place in the order of drawers; known is false until some
+// originFetchRank is the box's place in the order of drawers; known is false until some
 // monitor has told who they are.
-func (j *copyJob) rank(self string) (rank int, known bool) {
+func (j *versionJob) originFetchRank(self string) (rank int, known bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	boxes := make([]string, 0, len(j.drawers))
-	for _, drawer := range j.drawers {
+	boxes := make([]string, 0, len(j.originFetchers))
+	for _, drawer := range j.originFetchers {
 		boxes = append(boxes, drawer.Box)
 	}
-	ordered := member.Rank(j.weights.Manifest.String(), boxes, len(boxes))
+	ordered := member.Rank(j.pinned.Manifest.String(), boxes, len(boxes))
 	if at := slices.Index(ordered, self); at >= 0 {
 		return at, true
 	}
-	return len(ordered), j.swarmed
+	return len(ordered), j.hasSwarm
 }
 
-func (c *Copier) manifestFromNeighbours(ctx context.Context, job *copyJob) (*weights.Manifest, bool) {
+func (c *Loader) manifestFromNeighbours(ctx context.Context, job *versionJob) (*weights.Manifest, bool) {
 	for _, address := range job.neighbourAddresses() {
 		callCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 		answer, err := wire.NewDRPCChunksClient(c.options.Peers.Conn(address)).
-			Manifest(callCtx, &wire.ManifestRequest{Manifest: job.weights.Manifest[:]})
+			Manifest(callCtx, &wire.ManifestRequest{Manifest: job.pinned.Manifest[:]})
 		cancel()
 		if err != nil || len(answer.Content) == 0 {
 			continue
 		}
-		manifest, err := weights.Parse(answer.Content, job.weights.Manifest)
+		manifest, err := weights.Parse(answer.Content, job.pinned.Manifest)
 		if err == nil {
 			return manifest, true
 		}
@@ -117,12 +117,12 @@
 	return nil, false
 }
 
-func (c *Copier) manifestFromSource(ctx context.Context, job *copyJob) (*weights.Manifest, error) {
-	content, err := readManifest(ctx, c.options.Sources, job.weights.Model, job.weights.Version)
+func (c *Loader) manifestFromSource(ctx context.Context, job *versionJob) (*weights.Manifest, error) {
+	content, err := readManifest(ctx, c.options.Sources, job.pinned.Model, job.pinned.Version)
 	if err != nil {
 		return nil, fmt.Errorf("reading the manifest: %w", err)
 	}
-	manifest, err := weights.Parse(content, job.weights.Manifest)
+	manifest, err := weights.Parse(content, job.pinned.Manifest)
 	if err != nil {
 		c.options.Metrics.chunkFaults.WithLabelValues("source", "manifest").Inc()
 		return nil, err
@@ -130,7 +130,7 @@
 	return manifest, nil
 }
 
-func (j *copyJob) neighbourAddresses() []member.Address {
+func (j *versionJob) neighbourAddresses() []member.Address {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	addresses := make([]member.Address, 0, len(j.neighbours))
--- a/internal/daemon/configuration.go
+++ b/internal/daemon/tablestore.go
@@ -25,67 +25,67 @@
 var ErrUndecided = errors.New("edit is undecided")
 
 const (
-	// readInterval is how often a relay reads the table without being woken,
+	// tableReadInterval is how often a relay reads the table without being woken,
 	// in case a watch has gone silent.
-	readInterval = 5 * time.Second
-	// readTimeout bounds such a read, and readRetry is the wait after one that failed: an edit
+	tableReadInterval = 5 * time.Second
+	// tableReadTimeout bounds such a read, and tableReadRetryDelay is the wait after one that failed: an edit
 	// has to be in force in all regions in eight seconds, and a service that is back after
 	// an outage must not hide behind a call that it has swallowed.
-	readTimeout = 2 * time.Second
-	readRetry   = 500 * time.Millisecond
-	// watchTimeout bounds one waiting watch.
-	watchTimeout = time.Minute
-	// callTimeout bounds one call of the key-value service.
-	callTimeout = 5 * time.Second
-	// settleTries and settleWait bound how long an edit whose answer was lost is
+	tableReadTimeout    = 2 * time.Second
+	tableReadRetryDelay = 500 * time.Millisecond
+	// tableWatchTimeout bounds one waiting watch.
+	tableWatchTimeout = time.Minute
+	// platformCallTimeout bounds one call of the key-value service.
+	platformCallTimeout = 5 * time.Second
+	// confirmAttempts and confirmInterval bound how long an edit whose answer was lost is
 	// looked for before it is called undecided.
-	settleTries = 4
-	settleWait  = 250 * time.Millisecond
-	// swapTries bounds how often an edit is applied anew after another edit.
-	swapTries = 50
+	confirmAttempts = 4
+	confirmInterval = 250 * time.Millisecond
+	// maxEditAttempts bounds how often an edit is applied anew after another edit.
+	maxEditAttempts = 50
 )
 
-// Configuration brings the table from the key-value service into the replicated
+// TableStore brings the table from the key-value service into the replicated
 // items, and makes edits.
-type Configuration struct {
-	kv      provider.KeyValue
-	sources []provider.WeightSource
-	replica *Replica
-	clock   clockwork.Clock
-	log     zerolog.Logger
-	metrics *Metrics
-	isRelay func() bool
-	duties  *kernel.TaskGroup
-	wake    chan struct{}
-	watched chan provider.Revision
+type TableStore struct {
+	kv           provider.KeyValue
+	sources      []provider.WeightSource
+	replica      *Replica
+	clock        clockwork.Clock
+	log          zerolog.Logger
+	metrics      *Metrics
+	isRelay      func() bool
+	tasks        *kernel.TaskGroup
+	wake         chan struct{}
+	readRevision chan provider.Revision
 }
 
-// NewConfiguration starts to follow the table while isRelay holds.
-func NewConfiguration(kv provider.KeyValue, sources []provider.WeightSource, replica *Replica,
+// NewTableStore starts to follow the table while isRelay holds.
+func NewTableStore(kv provider.KeyValue, sources []provider.WeightSource, replica *Replica,
 	clock clockwork.Clock, log zerolog.Logger, metrics *Metrics, isRelay func() bool,
-) *Configuration {
-	c := &Configuration{
+) *TableStore {
+	c := &TableStore{
 		kv: kv, sources: sources, replica: replica, clock: clock, log: log, metrics: metrics, isRelay: isRelay,
-		duties:  kernel.NewTaskGroup(),
-		wake:    make(chan struct{}, 1),
-		watched: make(chan provider.Revision, 1),
+		tasks:        kernel.NewTaskGroup(),
+		wake:         make(chan struct{}, 1),
+		readRevision: make(chan provider.Revision, 1),
 	}
-	c.duties.Go(c.read)
-	c.duties.Go(c.watch)
+	c.tasks.Go(c.run)
+	c.tasks.Go(c.watch)
 	return c
 }
 
 // String returns the service's name.
-func (c *Configuration) String() string { return "configuration" }
+func (c *TableStore) String() string { return "configuration" }
 
 // Stop ends following the table.
-func (c *Configuration) Stop(ctx context.Context) error { return c.duties.Stop(ctx) }
+func (c *TableStore) Stop(ctx context.Context) error { return c.tasks.Stop(ctx) }
 
-func (c *Configuration) read(ctx context.Context) {
+func (c *TableStore) run(ctx context.Context) {
 	for {
-		wait := readInterval
-		if c.isRelay() && !c.readOnce(ctx) {
-			wait = readRetry
+		wait := tableReadInterval
+		if c.isRelay() && !c.readTable(ctx) {
+			wait = tableReadRetryDelay
 		}
 		select {
 		case <-ctx.Done():
@@ -96,9 +96,9 @@
 	}
 }
 
-// readOnce reads the table; done is false if that failed.
-func (c *Configuration) readOnce(ctx context.Context) (done bool) {
-	readCtx, cancel := clockwork.WithTimeout(ctx, c.clock, readTimeout)
+// readTable reads the table; done is false if that failed.
+func (c *TableStore) readTable(ctx context.Context) (done bool) {
+	readCtx, cancel := clockwork.WithTimeout(ctx, c.clock, tableReadTimeout)
 	defer cancel()
 	held, revision, err := c.load(readCtx)
 	if err != nil {
@@ -108,23 +108,23 @@
 	}
 	c.publish(held)
 	select {
-	case <-c.watched:
+	case <-c.readRevision:
 	default:
 	}
-	c.watched <- revision
+	c.readRevision <- revision
 	return true
 }
 
 // watch waits for the next change after what was read last.
-func (c *Configuration) watch(ctx context.Context) {
+func (c *TableStore) watch(ctx context.Context) {
 	for {
 		var after provider.Revision
 		select {
 		case <-ctx.Done():
 			return
-		case after = <-c.watched:
+		case after = <-c.readRevision:
 		}
-		watchCtx, cancel := context.WithTimeout(ctx, watchTimeout)
+		watchCtx, cancel := context.WithTimeout(ctx, tableWatchTimeout)
 		c.metrics.keyValueCalls.WithLabelValues("watch").Inc()
 		err := c.kv.Watch(watchCtx, TableKey, after)
 		cancel()
@@ -138,8 +138,8 @@
 	}
 }
 
-func (c *Configuration) load(ctx context.Context) (*table.Table, provider.Revision, error) {
-	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+func (c *TableStore) load(ctx context.Context) (*table.Table, provider.Revision, error) {
+	callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
 	c.metrics.keyValueCalls.WithLabelValues("get").Inc()
 	entry, err := c.kv.Get(callCtx, TableKey)
@@ -158,7 +158,7 @@
 
 // publish turns the table into items. A row's version is the revision of its
 // last edit, so that every reader makes the same item.
-func (c *Configuration) publish(held *table.Table) {
+func (c *TableStore) publish(held *table.Table) {
 	items := make([]state.Item, 0, len(held.Entries)+1)
 	for _, entry := range held.Entries {
 		value, err := state.Encode(entry.Row)
@@ -185,8 +185,8 @@
 // Edit makes an edit and returns the table that holds it. Errors wrap
 // *table.ConflictError, table.Findings, table.ErrBaseAhead, ErrUndecided or
 // provider.ErrUnavailable; with all but ErrUndecided nothing was changed.
-func (c *Configuration) Edit(ctx context.Context, edit table.Edit) (*table.Table, error) {
-	for range swapTries {
+func (c *TableStore) Edit(ctx context.Context, edit table.Edit) (*table.Table, error) {
+	for range maxEditAttempts {
 		held, revision, err := c.load(ctx)
 		if err != nil {
 			return nil, err
@@ -202,9 +202,9 @@
 		if err := c.checkPublished(ctx, edit, next); err != nil {
 			return nil, err
 		}
-		swapped, err := c.swap(ctx, next, revision)
+		swapped, err := c.compareAndSwap(ctx, next, revision)
 		if errors.Is(err, provider.ErrUncertain) {
-			return c.settle(ctx, edit.ID, err)
+			return c.confirmEdit(ctx, edit.ID, err)
 		}
 		if err != nil {
 			return nil, err
@@ -219,22 +219,22 @@
 	return nil, fmt.Errorf("other edits kept coming first: %w", provider.ErrUnavailable)
 }
 
-func (c *Configuration) swap(ctx context.Context, next *table.Table, revision provider.Revision) (bool, error) {
+func (c *TableStore) compareAndSwap(ctx context.Context, next *table.Table, revision provider.Revision) (bool, error) {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return false, eris.Wrap(err, "encoding the table")
 	}
-	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
 	c.metrics.keyValueCalls.WithLabelValues("swap").Inc()
 	_, swapped, err := c.kv.CompareAndSwap(callCtx, TableKey, value, revision, 0)
 	return swapped, err
 }
 
-// settle looks for an edit whose answer was lost. An edit that is not found may
+// confirmEdit looks for an edit whose answer was lost. An edit that is not found may
 // still be under way, so it is never reported as refused.
-func (c *Configuration) settle(ctx context.Context, id table.EditID, cause error) (*table.Table, error) {
-	for range settleTries {
+func (c *TableStore) confirmEdit(ctx context.Context, id table.EditID, cause error) (*table.Table, error) {
+	for range confirmAttempts {
 		held, _, err := c.load(ctx)
 		if err == nil {
 			if _, done := held.Find(id); done {
@@ -244,14 +244,14 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-c.clock.After(settleWait):
+		case <-c.clock.After(confirmInterval):
 		}
 	}
 	return nil, fmt.Errorf("%w: %w", ErrUndecided, cause)
 }
 
 // Find reads an edit's record back.
-func (c *Configuration) Find(ctx context.Context, id table.EditID) (table.EditRecord, bool, error) {
+func (c *TableStore) Find(ctx context.Context, id table.EditID) (table.EditRecord, bool, error) {
 	held, _, err := c.load(ctx)
 	if err != nil {
 		return table.EditRecord{}, false, err
@@ -261,7 +261,7 @@
 }
 
 // History returns the records that are kept, oldest first.
-func (c *Configuration) History(ctx context.Context) ([]table.EditRecord, error) {
+func (c *TableStore) History(ctx context.Context) ([]table.EditRecord, error) {
 	held, _, err := c.load(ctx)
 	if err != nil {
 		return nil, err
@@ -271,7 +271,7 @@
 
 // checkPublished refuses an edit that names a version which nobody published.
 // Rows whose version the edit leaves alone are not looked at.
-func (c *Configuration) checkPublished(ctx context.Context, edit table.Edit, next *table.Table) error {
+func (c *TableStore) checkPublished(ctx context.Context, edit table.Edit, next *table.Table) error {
 	touched := make(map[table.Key]bool)
 	for _, change := range edit.Changes {
 		if _, ok := change.Set[table.ColumnVersion]; ok {
@@ -302,17 +302,17 @@
 
 // Versions lists the published versions of a model, from the first source that
 // answers. Errors wrap provider.ErrNotPublished or provider.ErrUnavailable.
-func (c *Configuration) Versions(ctx context.Context, model table.Model) ([]table.ModelVersion, error) {
-	return fromSources(c.sources, func(source provider.WeightSource) ([]table.ModelVersion, error) {
-		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+func (c *TableStore) Versions(ctx context.Context, model table.Model) ([]table.ModelVersion, error) {
+	return trySources(c.sources, func(source provider.WeightSource) ([]table.ModelVersion, error) {
+		callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 		defer cancel()
 		return source.Versions(callCtx, model)
 	})
 }
 
-// fromSources asks each source in turn. If none has the answer, the error of one
+// trySources asks each source in turn. If none has the answer, the error of one
 // that may have it goes before that of one that surely has not.
-func fromSources[T any](sources []provider.WeightSource, ask func(provider.WeightSource) (T, error)) (T, error) {
+func trySources[T any](sources []provider.WeightSource, ask func(provider.WeightSource) (T, error)) (T, error) {
 	var zero T
 	problem := provider.ErrNotPublished
 	for _, source := range sources {
--- a/internal/daemon/outage_test.go
+++ b/internal/daemon/tablestore_outage_test.go
@@ -17,25 +17,25 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// tableReadBound is in which time a relay has to read an edit: half of the eight seconds in
+// maxTableReadDelay is in which time a relay has to read an edit: half of the eight seconds in
 // which it has to be in force in all regions.
-const tableReadBound = 4 * time.Second
+const maxTableReadDelay = 4 * time.Second
 
-// silentKeyValue holds a table and swallows the calls that come while it is silent.
-type silentKeyValue struct {
+// hangingKeyValue holds a table and swallows the calls that come while it is silent.
+type hangingKeyValue struct {
 	mu       sync.Mutex
 	silent   bool
 	revision table.Revision
 }
 
 // set begins or ends the silence, and makes the table another one.
-func (kv *silentKeyValue) set(silent bool, revision table.Revision) {
+func (kv *hangingKeyValue) set(silent bool, revision table.Revision) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	kv.silent, kv.revision = silent, revision
 }
 
-func (kv *silentKeyValue) seam() provider.KeyValue {
+func (kv *hangingKeyValue) client() provider.KeyValue {
 	return provider.KeyValue{
 		Get: func(ctx context.Context, _ string) (provider.KeyValueEntry, error) {
 			kv.mu.Lock()
@@ -58,14 +58,14 @@
 
 // A read that the key-value service had swallowed just before it came back, and the wait
 // after it, hid for up to ten seconds that it was back.
-func TestAnEditIsReadSoonHoweverLongTheKeyValueServiceWasSilent(t *testing.T) {
+func TestEditIsReadSoonAfterKeyValueOutage(t *testing.T) {
 	const shortest, longest, step = time.Second, 21 * time.Second, 250 * time.Millisecond
 	for silent := shortest; silent <= longest; silent += step {
 		synctest.Test(t, func(t *testing.T) {
-			kv, clock, store := new(silentKeyValue), clockwork.NewRealClock(), state.NewStore(1)
+			kv, clock, store := new(hangingKeyValue), clockwork.NewRealClock(), state.NewStore(1)
 			kv.set(false, 1)
-			replica := NewReplica(store, NewPeers(), clock, quiet(), noLinks)
-			c := NewConfiguration(kv.seam(), nil, replica, clock, quiet(), NewMetrics(), always)
+			replica := NewReplica(store, NewPeerPool(), clock, nopLogger(), noLinks)
+			c := NewTableStore(kv.client(), nil, replica, clock, nopLogger(), NewMetrics(), always)
 			defer func() {
 				require.NoError(t, c.Stop(context.Background()))
 				require.NoError(t, replica.Stop(context.Background()))
@@ -82,7 +82,7 @@
 				}
 				<-changed
 			}
-			assert.LessOrEqual(t, time.Since(began), tableReadBound, "silent for %s", silent)
+			assert.LessOrEqual(t, time.Since(began), maxTableReadDelay, "silent for %s", silent)
 		})
 	}
 }
