--- a/internal/daemon/configuration_test.go
+++ b/internal/daemon/tablestore_test.go
@@ -13,9 +13,9 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-func newTestConfiguration(t *testing.T, p *testPlatform, n *node) *Configuration {
+func newTestTableStore(t *testing.T, p *testPlatform, n *testNode) *TableStore {
 	t.Helper()
-	c := NewConfiguration(p.seam, []provider.WeightSource{p.source}, n.replica, clockwork.NewRealClock(), quiet(), NewMetrics(), always)
+	c := NewTableStore(p.kvClient, []provider.WeightSource{p.source}, n.replica, clockwork.NewRealClock(), nopLogger(), NewMetrics(), always)
 	t.Cleanup(func() { stopService(t, c) })
 	return c
 }
@@ -26,23 +26,23 @@
 	}}
 }
 
-// configured is a platform with one published version and one row.
-func configured(t *testing.T) (*testPlatform, *node, *Configuration) {
+// newConfiguredPlatform is a platform with one published version and one row.
+func newConfiguredPlatform(t *testing.T) (*testPlatform, *testNode, *TableStore) {
 	t.Helper()
 	p := newTestPlatform(t)
 	p.publish(t, "kakiwake", "v1", []byte("weights"), 4)
-	n := newNode(t, 1, noLinks)
-	c := newTestConfiguration(t, p, n)
+	n := newTestNode(t, 1, noLinks)
+	c := newTestTableStore(t, p, n)
 	_, err := c.Edit(t.Context(), rowEdit("first", 0, table.ColumnVersion, "v1"))
 	require.NoError(t, err)
 	return p, n, c
 }
 
-func TestEditIsInForceAtOnceAndElsewhereSoon(t *testing.T) {
-	p, n, _ := configured(t)
-	other := newNode(t, 2, noLinks)
-	newTestConfiguration(t, p, other)
-	for _, at := range []*node{n, other} {
+func TestEditReachesAllEntryBoxes(t *testing.T) {
+	p, n, _ := newConfiguredPlatform(t)
+	other := newTestNode(t, 2, noLinks)
+	newTestTableStore(t, p, other)
+	for _, at := range []*testNode{n, other} {
 		eventually(t, func() bool {
 			rows, revision := at.view.Rows()
 			return revision == 1 && len(rows) == 1 && rows[0].Version == "v1"
@@ -50,10 +50,10 @@
 	}
 }
 
-func TestEditWhoseAnswerIsLostIsMadeOnce(t *testing.T) {
-	p, _, c := configured(t)
+func TestEditWithLostResponseIsAppliedOnce(t *testing.T) {
+	p, _, c := newConfiguredPlatform(t)
 	var once sync.Once
-	p.kv.SetFault(func(path string) (fault standin.Fault) {
+	p.kvServer.SetFault(func(path string) (fault standin.Fault) {
 		if path == "/v3/kv/txn" {
 			once.Do(func() { fault.DropResponse = true })
 		}
@@ -67,12 +67,12 @@
 	require.Len(t, records, 2)
 }
 
-func TestEditThatMayHaveBeenMadeIsNeverReportedAsRefused(t *testing.T) {
-	p, _, c := configured(t)
+func TestPossiblyAppliedEditIsNeverReportedAsRefused(t *testing.T) {
+	p, _, c := newConfiguredPlatform(t)
 	// The write takes effect, its answer is lost, and the service is gone.
 	var mu sync.Mutex
 	gone := false
-	p.kv.SetFault(func(path string) standin.Fault {
+	p.kvServer.SetFault(func(path string) standin.Fault {
 		mu.Lock()
 		defer mu.Unlock()
 		if gone {
@@ -83,26 +83,26 @@
 	})
 	_, err := c.Edit(t.Context(), rowEdit("undecided", 1, table.ColumnWeight, "5"))
 	require.ErrorIs(t, err, ErrUndecided)
-	p.kv.SetFault(nil)
+	p.kvServer.SetFault(nil)
 	_, found, err := c.Find(t.Context(), "undecided")
 	require.NoError(t, err)
 	require.True(t, found, "it is settled later by its id")
 }
 
 func TestEditDuringAnOutageChangesNothing(t *testing.T) {
-	p, _, c := configured(t)
-	p.kv.SetFault(func(string) standin.Fault { return standin.Fault{Status: http.StatusServiceUnavailable} })
+	p, _, c := newConfiguredPlatform(t)
+	p.kvServer.SetFault(func(string) standin.Fault { return standin.Fault{Status: http.StatusServiceUnavailable} })
 	_, err := c.Edit(t.Context(), rowEdit("down", 1, table.ColumnWeight, "5"))
 	require.ErrorIs(t, err, provider.ErrUnavailable)
 	require.NotErrorIs(t, err, ErrUndecided)
-	p.kv.SetFault(nil)
+	p.kvServer.SetFault(nil)
 	_, found, err := c.Find(t.Context(), "down")
 	require.NoError(t, err)
 	require.False(t, found)
 }
 
-func TestEditsAtTheSameMomentAllMergeOrConflict(t *testing.T) {
-	_, n, c := configured(t)
+func TestConcurrentEditsMergeOrConflict(t *testing.T) {
+	_, n, c := newConfiguredPlatform(t)
 	columns := map[table.EditID]table.Column{"a": table.ColumnWeight, "b": table.ColumnFloor, "c": table.ColumnWeight}
 	results := make(map[table.EditID]error)
 	var mu sync.Mutex
@@ -128,8 +128,8 @@
 	eventually(t, func() bool { _, revision := n.view.Rows(); return revision == 3 }, "both others are in force")
 }
 
-func TestVersionThatNobodyPublishedIsAFinding(t *testing.T) {
-	_, _, c := configured(t)
+func TestUnpublishedVersionIsAFinding(t *testing.T) {
+	_, _, c := newConfiguredPlatform(t)
 	_, err := c.Edit(t.Context(), rowEdit("bad", 1, table.ColumnVersion, "v9"))
 	var findings table.Findings
 	require.ErrorAs(t, err, &findings)
--- a/internal/daemon/versions.go
+++ b/internal/daemon/versions.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// resolve pins the manifest of each version that the table comes to name. It is
+// resolveVersions pins the manifest of each version that the table comes to name. It is
 // a duty of its own, so that a slow source does not hold up planning.
-func (p *Planner) resolve(ctx context.Context) {
+func (p *Planner) resolveVersions(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := p.view.Changed()
 		rows, _ := p.view.Rows()
@@ -33,13 +33,13 @@
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-p.clock.After(manifestRetry):
+		case <-p.clock.After(manifestRetryDelay):
 		}
 	}
 }
 
 func (p *Planner) resolveRow(ctx context.Context, row table.Row) {
-	if p.isPinned(row.Model, row.Version) || p.missedLately(row) {
+	if p.isPinned(row.Model, row.Version) || p.failedRecently(row) {
 		return
 	}
 	content, err := readManifest(ctx, p.sources, row.Model, row.Version)
@@ -48,19 +48,19 @@
 	}
 	if err != nil {
 		p.log.Warn().Str("model", string(row.Model)).Str("version", string(row.Version)).Err(err).Msg("version cannot be resolved")
-		p.miss(row)
+		p.recordLookupFailure(row)
 		return
 	}
 	p.setPin(row.Model, row.Version, weights.Sum(content))
 	select {
-	case p.resolved <- struct{}{}:
+	case p.versionResolved <- struct{}{}:
 	default:
 	}
 }
 
 func readManifest(ctx context.Context, sources []provider.WeightSource, model table.Model, version table.ModelVersion) ([]byte, error) {
-	return fromSources(sources, func(source provider.WeightSource) ([]byte, error) {
-		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+	return trySources(sources, func(source provider.WeightSource) ([]byte, error) {
+		callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 		defer cancel()
 		return source.Manifest(callCtx, model, version)
 	})
@@ -79,17 +79,17 @@
 	setNested(p.manifests, model, version, digest)
 }
 
-func (p *Planner) miss(row table.Row) {
+func (p *Planner) recordLookupFailure(row table.Row) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	setNested(p.missed, row.Model, row.Version, p.clock.Now())
+	setNested(p.lookupFailures, row.Model, row.Version, p.clock.Now())
 }
 
-func (p *Planner) missedLately(row table.Row) bool {
+func (p *Planner) failedRecently(row table.Row) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at, ok := p.missed[row.Model][row.Version]
-	return ok && p.clock.Since(at) < manifestRetry
+	at, ok := p.lookupFailures[row.Model][row.Version]
+	return ok && p.clock.Since(at) < manifestRetryDelay
 }
 
 func setNested[A, B comparable, V any](values map[A]map[B]V, a A, b B, value V) {
--- a/internal/daemon/view.go
+++ b/internal/daemon/view.go
@@ -25,8 +25,8 @@
 	tableHeadKey   = "table/head"
 )
 
-// assigned is a box's assignment with the version under which it is replicated.
-type assigned struct {
+// versionedAssignment is a box's assignment with the version under which it is replicated.
+type versionedAssignment struct {
 	plan.Assignment
 	version state.Version
 	raw     []byte
@@ -38,46 +38,46 @@
 	store  *state.Store
 	log    zerolog.Logger
 	router *route.Router
-	duties *kernel.TaskGroup
+	tasks  *kernel.TaskGroup
 
 	mu      sync.RWMutex
 	members map[member.BoxID]member.Record
 	rows    map[table.Key]table.Row
 	// models and groups count the rows that name them.
-	models      map[table.Model]int
-	groups      map[table.Group]int
-	revision    table.Revision
-	boxes       map[member.BoxID]assigned
-	planRows    map[table.Key]plan.RowPlan
-	head        plan.Head
-	swarms      map[weights.Digest]map[member.BoxID]bool
-	changed     chan struct{}
-	shareChange uint64
-	entryChange uint64
-	// entries is worked out anew when entryChange has left entriesAt behind.
-	entries   map[member.Region][]member.Record
-	entriesAt uint64
-	// hinted holds the incarnation of boxes that the platform lists as leaving.
-	hinted map[member.BoxID]member.Incarnation
+	models          map[table.Model]int
+	groups          map[table.Group]int
+	revision        table.Revision
+	assignments     map[member.BoxID]versionedAssignment
+	rowPlans        map[table.Key]plan.RowPlan
+	head            plan.Head
+	swarms          map[weights.Digest]map[member.BoxID]bool
+	changed         chan struct{}
+	shareGeneration uint64
+	entryGeneration uint64
+	// entryCache is worked out anew when entryGeneration has left entryCacheGeneration behind.
+	entryCache           map[member.Region][]member.Record
+	entryCacheGeneration uint64
+	// leavingHints holds the incarnation of boxes that the platform lists as leaving.
+	leavingHints map[member.BoxID]member.Incarnation
 }
 
 // NewView follows a store and keeps a router for callers of a region.
 func NewView(store *state.Store, region member.Region, log zerolog.Logger) *View {
 	v := &View{
 		store: store, log: log,
-		router:   route.NewRouter(region),
-		duties:   kernel.NewTaskGroup(),
-		members:  make(map[member.BoxID]member.Record),
-		rows:     make(map[table.Key]table.Row),
-		models:   make(map[table.Model]int),
-		groups:   make(map[table.Group]int),
-		boxes:    make(map[member.BoxID]assigned),
-		planRows: make(map[table.Key]plan.RowPlan),
-		swarms:   make(map[weights.Digest]map[member.BoxID]bool),
-		changed:  make(chan struct{}),
-		hinted:   make(map[member.BoxID]member.Incarnation),
+		router:       route.NewRouter(region),
+		tasks:        kernel.NewTaskGroup(),
+		members:      make(map[member.BoxID]member.Record),
+		rows:         make(map[table.Key]table.Row),
+		models:       make(map[table.Model]int),
+		groups:       make(map[table.Group]int),
+		assignments:  make(map[member.BoxID]versionedAssignment),
+		rowPlans:     make(map[table.Key]plan.RowPlan),
+		swarms:       make(map[weights.Digest]map[member.BoxID]bool),
+		changed:      make(chan struct{}),
+		leavingHints: make(map[member.BoxID]member.Incarnation),
 	}
-	v.duties.Go(v.follow)
+	v.tasks.Go(v.follow)
 	return v
 }
 
@@ -85,7 +85,7 @@
 func (v *View) String() string { return "view" }
 
 // Stop ends following the store.
-func (v *View) Stop(ctx context.Context) error { return v.duties.Stop(ctx) }
+func (v *View) Stop(ctx context.Context) error { return v.tasks.Stop(ctx) }
 
 // Router returns the router that the view keeps.
 func (v *View) Router() *route.Router { return v.router }
@@ -125,12 +125,12 @@
 	case strings.HasPrefix(item.Key, member.KeyPrefix):
 		return v.applyMember(item)
 	case strings.HasPrefix(item.Key, leavingPrefix):
-		return v.applyHint(item)
+		return v.applyLeavingHint(item)
 	case strings.HasPrefix(item.Key, tableRowPrefix):
 		return v.applyRow(item)
 	case strings.HasPrefix(item.Key, plan.RowPrefix):
-		v.shareChange++
-		return applyKeyed(v.planRows, plan.RowPrefix, item)
+		v.shareGeneration++
+		return applyRowValue(v.rowPlans, plan.RowPrefix, item)
 	case strings.HasPrefix(item.Key, plan.BoxPrefix):
 		return v.applyAssignment(item)
 	case item.Key == tableHeadKey:
@@ -143,12 +143,12 @@
 
 // applyRow keeps a row and counts how many name its model and its group.
 func (v *View) applyRow(item state.Item) error {
-	v.shareChange++
-	key := keyOf(tableRowPrefix, item)
+	v.shareGeneration++
+	key := rowKey(tableRowPrefix, item)
 	if _, had := v.rows[key]; had {
 		v.countRow(key, -1)
 	}
-	err := applyKeyed(v.rows, tableRowPrefix, item)
+	err := applyRowValue(v.rows, tableRowPrefix, item)
 	if _, has := v.rows[key]; has {
 		v.countRow(key, 1)
 	}
@@ -166,20 +166,20 @@
 	}
 }
 
-func keyOf(prefix string, item state.Item) table.Key {
+func rowKey(prefix string, item state.Item) table.Key {
 	group, model, _ := strings.Cut(strings.TrimPrefix(item.Key, prefix), "/")
 	return table.Key{Group: table.Group(group), Model: table.Model(model)}
 }
 
 func (v *View) applyMember(item state.Item) error {
 	box := member.BoxID(strings.TrimPrefix(item.Key, member.KeyPrefix))
-	v.shareChange++
+	v.shareGeneration++
 	if item.Deleted {
 		if v.members[box].Role == member.RoleEntry {
-			v.entryChange++
+			v.entryGeneration++
 		}
 		delete(v.members, box)
-		delete(v.hinted, box)
+		delete(v.leavingHints, box)
 		v.router.Remove(box)
 		return nil
 	}
@@ -193,21 +193,21 @@
 
 // setMember keeps a record, with the platform's hint that the box is leaving.
 func (v *View) setMember(record member.Record) {
-	if record.Status == member.StatusUp && v.hinted[record.Box] == record.Incarnation {
+	if record.Status == member.StatusUp && v.leavingHints[record.Box] == record.Incarnation {
 		record.Status = member.StatusLeaving
 	}
 	if record.Role == member.RoleEntry {
-		v.entryChange++
+		v.entryGeneration++
 	}
 	v.members[record.Box] = record
 	v.router.Set(record)
 }
 
-func (v *View) applyHint(item state.Item) error {
+func (v *View) applyLeavingHint(item state.Item) error {
 	box := member.BoxID(strings.TrimPrefix(item.Key, leavingPrefix))
-	v.hinted[box] = member.Incarnation(item.Version.Major)
+	v.leavingHints[box] = member.Incarnation(item.Version.Major)
 	if record, ok := v.members[box]; ok {
-		v.shareChange++
+		v.shareGeneration++
 		v.setMember(record)
 	}
 	return nil
@@ -215,21 +215,21 @@
 
 func (v *View) applyAssignment(item state.Item) error {
 	box := member.BoxID(strings.TrimPrefix(item.Key, plan.BoxPrefix))
-	for _, held := range v.boxes[box].Versions {
+	for _, held := range v.assignments[box].Versions {
 		delete(v.swarms[held.Manifest], box)
 		if len(v.swarms[held.Manifest]) == 0 {
 			delete(v.swarms, held.Manifest)
 		}
 	}
 	if item.Deleted {
-		delete(v.boxes, box)
+		delete(v.assignments, box)
 		return nil
 	}
-	next := assigned{version: item.Version, raw: item.Value}
+	next := versionedAssignment{version: item.Version, raw: item.Value}
 	if err := state.Decode(item.Value, &next.Assignment); err != nil {
 		return err
 	}
-	v.boxes[box] = next
+	v.assignments[box] = next
 	for _, held := range next.Versions {
 		if v.swarms[held.Manifest] == nil {
 			v.swarms[held.Manifest] = make(map[member.BoxID]bool)
@@ -239,9 +239,9 @@
 	return nil
 }
 
-// applyKeyed keeps a value under the row key that its item's key holds.
-func applyKeyed[V any](values map[table.Key]V, prefix string, item state.Item) error {
-	key := keyOf(prefix, item)
+// applyRowValue keeps a value under the row key that its item's key holds.
+func applyRowValue[V any](values map[table.Key]V, prefix string, item state.Item) error {
+	key := rowKey(prefix, item)
 	if item.Deleted {
 		delete(values, key)
 		return nil
@@ -265,14 +265,14 @@
 func (v *View) ShareGeneration() uint64 {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.shareChange
+	return v.shareGeneration
 }
 
 // EntryGeneration changes whenever the record of an entry box does.
 func (v *View) EntryGeneration() uint64 {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.entryChange
+	return v.entryGeneration
 }
 
 // Rows returns the table in force, ordered, with its revision.
@@ -306,11 +306,11 @@
 func (v *View) Entries(region member.Region) []member.Record {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.entriesAt != v.entryChange || v.entries == nil {
-		v.entriesAt = v.entryChange
-		v.entries = v.entriesByRegion()
+	if v.entryCacheGeneration != v.entryGeneration || v.entryCache == nil {
+		v.entryCacheGeneration = v.entryGeneration
+		v.entryCache = v.entriesByRegion()
 	}
-	return v.entries[region]
+	return v.entryCache[region]
 }
 
 func (v *View) entriesByRegion() map[member.Region][]member.Record {
@@ -332,34 +332,34 @@
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	current := plan.Plan{
-		Boxes: make(map[member.BoxID]plan.Assignment, len(v.boxes)),
-		Rows:  maps.Clone(v.planRows),
+		Boxes: make(map[member.BoxID]plan.Assignment, len(v.assignments)),
+		Rows:  maps.Clone(v.rowPlans),
 	}
-	for box, held := range v.boxes {
+	for box, held := range v.assignments {
 		current.Boxes[box] = held.Assignment
 	}
 	return current, v.head
 }
 
-// Head returns the name of the plan in force.
-func (v *View) Head() plan.Head {
+// PlanHead returns the name of the plan in force.
+func (v *View) PlanHead() plan.Head {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.head
 }
 
-// PlanRows returns what is in force for every row.
-func (v *View) PlanRows() map[table.Key]plan.RowPlan {
+// RowPlans returns what is in force for every row.
+func (v *View) RowPlans() map[table.Key]plan.RowPlan {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return maps.Clone(v.planRows)
+	return maps.Clone(v.rowPlans)
 }
 
-// Row returns what is in force for a group and model.
-func (v *View) Row(key table.Key) (plan.RowPlan, bool) {
+// RowPlan returns what is in force for a group and model.
+func (v *View) RowPlan(key table.Key) (plan.RowPlan, bool) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	row, ok := v.planRows[key]
+	row, ok := v.rowPlans[key]
 	return row, ok
 }
 
@@ -377,10 +377,10 @@
 	return v.groups[group] > 0
 }
 
-func (v *View) assignment(box member.BoxID) (assigned, bool) {
+func (v *View) assignment(box member.BoxID) (versionedAssignment, bool) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	held, ok := v.boxes[box]
+	held, ok := v.assignments[box]
 	return held, ok
 }
 
--- a/internal/direct/agentfollower.go
+++ b/internal/direct/agentfollower.go
@@ -21,7 +21,7 @@
 type AgentFollower struct {
 	fleetState *FleetState
 	suspects   *SuspectRequests
-	peers      *daemon.Peers
+	peers      *daemon.PeerPool
 	// entries tell which servers are those of the own cell.
 	entries *EntryBoxes
 	clock   clockwork.Clock
--- a/internal/direct/direct.go
+++ b/internal/direct/direct.go
@@ -61,7 +61,7 @@
 	options      Options
 	metrics      *Metrics
 	mux          *drpcmux.Mux
-	peers        *daemon.Peers
+	peers        *daemon.PeerPool
 	fleetState   *FleetState
 	membership   *Membership
 	entries      *EntryBoxes
@@ -102,11 +102,11 @@
 func Start(loaded *settings.Settings, options Options) (*Process, error) {
 	p := &Process{
 		services: kernel.New(), settings: loaded, options: options,
-		metrics: NewMetrics(), mux: drpcmux.New(), peers: daemon.NewPeers(),
+		metrics: NewMetrics(), mux: drpcmux.New(), peers: daemon.NewPeerPool(),
 	}
 	p.suspects = newSuspectRequests(options.Clock, options.Log, p.metrics)
 	if options.LogQueue != nil {
-		options.LogQueue.Dropped = p.metrics.logDropped.Inc
+		options.LogQueue.OnDrop = p.metrics.logDropped.Inc
 	}
 	if err := p.services.Register(p.peers); err != nil {
 		return nil, err
--- a/internal/direct/entryboxes.go
+++ b/internal/direct/entryboxes.go
@@ -45,7 +45,7 @@
 	membership *Membership
 	fleetState *FleetState
 	suspects   *SuspectRequests
-	peers      *daemon.Peers
+	peers      *daemon.PeerPool
 	clock      clockwork.Clock
 	log        zerolog.Logger
 	tasks      *kernel.TaskGroup
--- a/internal/direct/entryfollower.go
+++ b/internal/direct/entryfollower.go
@@ -18,7 +18,7 @@
 type entryFollower struct {
 	fleetState *FleetState
 	suspects   *SuspectRequests
-	peers      *daemon.Peers
+	peers      *daemon.PeerPool
 	self       string
 	region     string
 	seeds      []string
--- a/internal/direct/entryfollower_test.go
+++ b/internal/direct/entryfollower_test.go
@@ -28,7 +28,7 @@
 	clock := clockwork.NewFakeClock()
 	seeds := []string{closedAddress(t), closedAddress(t)}
 	follower := &entryFollower{
-		suspects: noSuspectRequests(), fleetState: NewFleetState(clock, zerolog.New(&log), NewMetrics()), peers: daemon.NewPeers(), seeds: seeds, lastLogged: make(map[string]time.Time),
+		suspects: noSuspectRequests(), fleetState: NewFleetState(clock, zerolog.New(&log), NewMetrics()), peers: daemon.NewPeerPool(), seeds: seeds, lastLogged: make(map[string]time.Time),
 	}
 	lines := func() []string {
 		log.Reset()
--- a/internal/direct/follow.go
+++ b/internal/direct/follow.go
@@ -33,7 +33,7 @@
 // followStream takes what a stream tells until it fails, falls silent or the context ends, and
 // reports whether anything was heard. That the process is heard, and no more, is logged.
 func followStream[M any](
-	ctx context.Context, clock clockwork.Clock, peers *daemon.Peers, log zerolog.Logger, stream *peerStream[M],
+	ctx context.Context, clock clockwork.Clock, peers *daemon.PeerPool, log zerolog.Logger, stream *peerStream[M],
 ) (heard bool, err error) {
 	err = stream.receive(ctx, clock, peers, func(message M) {
 		if !heard {
@@ -50,7 +50,7 @@
 
 // receive opens the stream and receives until it fails or falls silent. Each stream has a
 // connection of its own: after one that fell silent, others that are kept may be silent too.
-func (s *peerStream[M]) receive(ctx context.Context, clock clockwork.Clock, peers *daemon.Peers, take func(message M)) error {
+func (s *peerStream[M]) receive(ctx context.Context, clock clockwork.Clock, peers *daemon.PeerPool, take func(message M)) error {
 	streamCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	watchdog := clock.AfterFunc(statusTimeout, func() { cancel(errSilent) })
--- a/internal/direct/follow_test.go
+++ b/internal/direct/follow_test.go
@@ -47,7 +47,7 @@
 	server := daemon.NewPeerServer(listener, mux, zerolog.Nop())
 	defer func() { require.NoError(t, server.Stop(context.Background())) }()
 	var lines bytes.Buffer
-	heard, err = followStream(ctx, clock, daemon.NewPeers(), zerolog.New(&lines), &peerStream[*wire.ServerStatus]{
+	heard, err = followStream(ctx, clock, daemon.NewPeerPool(), zerolog.New(&lines), &peerStream[*wire.ServerStatus]{
 		dependency: "agent", address: member.Address(listener.Addr().String()),
 		open: func(ctx context.Context, client wire.DRPCFleetClient) (func() (*wire.ServerStatus, error), error) {
 			stream, err := client.Server(ctx, &wire.FollowRequest{})
--- a/internal/direct/loader.go
+++ b/internal/direct/loader.go
@@ -76,7 +76,7 @@
 	AgentPort       uint16
 	FleetState      *FleetState
 	SuspectRequests *SuspectRequests
-	Peers           *daemon.Peers
+	Peers           *daemon.PeerPool
 	Server          provider.ModelServer
 	Origin          provider.ChunkOrigin
 	Clock           clockwork.Clock
--- a/internal/direct/outage_test.go
+++ b/internal/direct/outage_test.go
@@ -325,7 +325,7 @@
 	defer func() { require.NoError(t, server.Stop(context.Background())) }()
 	follower := NewFleetState(clockwork.NewRealClock(), zerolog.Nop(), NewMetrics())
 	boxes := newTestEntryBoxes(follower)
-	boxes.peers = daemon.NewPeers()
+	boxes.peers = daemon.NewPeerPool()
 	require.NoError(t, boxes.pullFacts(t.Context(), member.Address(listener.Addr().String())))
 	require.Equal(t, source.Watermarks(), follower.Watermarks())
 	require.Len(t, follower.View().Servers("llm"), 2*maxBatchItems+1)
--- a/internal/scenario/callers_test.go
+++ b/internal/scenario/callers_test.go
@@ -76,7 +76,7 @@
 		if err != nil {
 			continue
 		}
-		var answer daemon.EntriesAnswer
+		var answer daemon.EntriesResponse
 		err = json.NewDecoder(response.Body).Decode(&answer)
 		_ = response.Body.Close()
 		if err == nil && len(answer.Entries) > 0 {
--- a/internal/scenario/watch_test.go
+++ b/internal/scenario/watch_test.go
@@ -16,8 +16,8 @@
 
 var statusClient = &http.Client{Timeout: 2 * time.Second}
 
-func status(p *process) (daemon.StatusAnswer, error) {
-	var answer daemon.StatusAnswer
+func status(p *process) (daemon.StatusResponse, error) {
+	var answer daemon.StatusResponse
 	response, err := statusClient.Get("http://" + p.operators + "/v1/status")
 	if err != nil {
 		return answer, err
@@ -27,7 +27,7 @@
 }
 
 // awaitAll waits until a check holds at every entry box that runs.
-func (w *world) awaitAll(ts *testscript.TestScript, what string, check func(daemon.StatusAnswer) string) {
+func (w *world) awaitAll(ts *testscript.TestScript, what string, check func(daemon.StatusResponse) string) {
 	await(ts, what, func() string {
 		entries := w.entries()
 		if len(entries) == 0 {
@@ -52,7 +52,7 @@
 	options(ts, args, 3)
 	want, err := strconv.Atoi(args[2])
 	ts.Check(err)
-	w.awaitAll(ts, fmt.Sprint("await-live ", args), func(answer daemon.StatusAnswer) string {
+	w.awaitAll(ts, fmt.Sprint("await-live ", args), func(answer daemon.StatusResponse) string {
 		live := 0
 		for _, record := range answer.Boxes {
 			if record.IsLive(table.Model(args[0]), table.ModelVersion(args[1])) {
@@ -70,7 +70,7 @@
 // group with the version.
 func awaitServing(w *world, ts *testscript.TestScript, args []string) {
 	options(ts, args, 3)
-	w.awaitAll(ts, fmt.Sprint("await-serving ", args), func(answer daemon.StatusAnswer) string {
+	w.awaitAll(ts, fmt.Sprint("await-serving ", args), func(answer daemon.StatusResponse) string {
 		for _, row := range answer.Rows {
 			if string(row.Group) == args[0] && string(row.Model) == args[1] {
 				if string(row.Plan.Serving) == args[2] {
@@ -87,7 +87,7 @@
 // status none means that the box is forgotten.
 func awaitStatus(w *world, ts *testscript.TestScript, args []string) {
 	options(ts, args, 2)
-	w.awaitAll(ts, fmt.Sprint("await-status ", args), func(answer daemon.StatusAnswer) string {
+	w.awaitAll(ts, fmt.Sprint("await-status ", args), func(answer daemon.StatusResponse) string {
 		got := "none"
 		for _, record := range answer.Boxes {
 			if string(record.Box) == args[0] {
@@ -104,7 +104,7 @@
 // await-fetch BOX waits until a box is in the middle of a fetch.
 func awaitFetch(w *world, ts *testscript.TestScript, args []string) {
 	options(ts, args, 1)
-	w.awaitAll(ts, fmt.Sprint("await-fetch ", args), func(answer daemon.StatusAnswer) string {
+	w.awaitAll(ts, fmt.Sprint("await-fetch ", args), func(answer daemon.StatusResponse) string {
 		for _, record := range answer.Boxes {
 			for _, held := range record.Copies {
 				if string(record.Box) == args[0] && held.Phase == member.PhaseFetching && held.HeldChunks > 0 {
@@ -121,7 +121,7 @@
 	options(ts, args, 1)
 	want, err := strconv.ParseUint(args[0], 10, 64)
 	ts.Check(err)
-	w.awaitAll(ts, fmt.Sprint("await-table ", args), func(answer daemon.StatusAnswer) string {
+	w.awaitAll(ts, fmt.Sprint("await-table ", args), func(answer daemon.StatusResponse) string {
 		if answer.Table < table.Revision(want) || answer.Plan.Table < table.Revision(want) {
 			return fmt.Sprintf("table %d, plan for table %d", answer.Table, answer.Plan.Table)
 		}
