--- a/pkg/weights/manifest.go
+++ b/pkg/weights/manifest.go
@@ -1,25 +1,24 @@
-// Package weights describes a version of a model's weights as chunks and
-// decides which chunk a box fetches next, and from whom.
+// Package weights describes the weights of a model version as chunks and decides which chunk a box
+// fetches next, and from where.
 //
-// A manifest lists files and their chunks in order, each chunk with its BLAKE3
-// digest, and the digest of the whole. The digest of the manifest itself pins
-// the version: a box that works from a pinned manifest can never mix chunks of
-// two versions. Chunks with equal digests are interchangeable between versions.
+// A manifest lists the files of a version and their chunks in order, a BLAKE3 digest for each chunk,
+// and a digest of all content. The digest of the manifest itself pins the version: a box that works
+// from a pinned manifest cannot mix chunks of two versions. Chunks with equal digests are
+// interchangeable between versions.
 //
-// Picker is a pure decision: it is told the time and what happened and answers
-// with the next fetch. It does no I/O, so the same code runs in the agent, in
-// tests and in measurements.
+// Picker makes decisions only: callers pass in the current time and the results of fetches, and Next
+// returns the next fetch. It does no I/O, so agents, tests and benchmarks run the same code.
 //
 // # Usage
 //
-//	manifest, err := weights.Parse(content, pinned)
-//	picker := weights.NewPicker(manifest, self, options, now)
-//	picker.SetOriginFetchers(drawers)
+//	manifest, err := weights.Parse(content, pin)
+//	picker := weights.NewPicker(manifest, self, held, options, now)
+//	picker.SetOriginFetchers(peers)
 //	picker.SetNeighbours(neighbours)
 //	picker.SetHoldings("box-2", bits)
 //	task, ok := picker.Next(now)
-//	// fetch task.Chunk from task.From, or from the origin if task.From is ""
-//	err = store.Put(manifest, task.Chunk, data) // refuses a wrong digest
+//	// Fetch task.Chunk from the box task.From, or from the origin if task.FromOrigin().
+//	err = store.Put(manifest, task.Chunk, data) // rejects data with another digest
 //	picker.Done(task, now)
 package weights
 
@@ -37,16 +36,16 @@
 // DigestSize is the length of a digest in bytes.
 const DigestSize = 32
 
-// Digest is a BLAKE3 digest, or what the manifest's Hash names.
+// Digest is a BLAKE3 digest, or a digest by the algorithm in Manifest.Hash.
 type Digest [DigestSize]byte
 
-// Sum returns the digest of data.
+// Sum returns the BLAKE3 digest of data.
 func Sum(data []byte) Digest { return blake3.Sum256(data) }
 
-// Hash names how digests of chunks are made.
+// Hash names the algorithm of chunk digests.
 type Hash string
 
-// The hashes of chunks.
+// The supported algorithms. The empty value means BLAKE3.
 const (
 	HashBLAKE3 Hash = ""
 	HashSHA256 Hash = "sha256"
@@ -63,16 +62,16 @@
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Short returns the first digits of the digest, for people.
+// Short returns the first 12 hexadecimal digits of the digest, for logs and errors.
 func (d Digest) Short() string { return hex.EncodeToString(d[:6]) }
 
-// IsZero reports whether the digest was never set.
+// IsZero reports whether the digest is unset.
 func (d Digest) IsZero() bool { return d == Digest{} }
 
 // MarshalText returns the digest in hexadecimal.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads a digest in hexadecimal.
+// UnmarshalText decodes a digest in hexadecimal.
 func (d *Digest) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != DigestSize {
 		return fmt.Errorf("digest has %d digits, want %d", len(text), 2*DigestSize)
@@ -83,7 +82,7 @@
 	return nil
 }
 
-// DigestFromBytes converts the form used on the wire.
+// DigestFromBytes decodes a digest in binary form. The length of raw must be DigestSize.
 func DigestFromBytes(raw []byte) (Digest, error) {
 	var digest Digest
 	if len(raw) != DigestSize {
@@ -95,45 +94,45 @@
 
 // The errors of this package.
 var (
-	// ErrDigestMismatch reports data that does not have the digest it should have.
+	// ErrDigestMismatch reports data whose digest differs from the expected one.
 	ErrDigestMismatch = errors.New("digest does not match")
-	// ErrInvalidManifest reports a manifest that disagrees with itself.
-	ErrInvalidManifest = errors.New("manifest is not consistent")
-	// ErrStoreFull reports that the store's memory limit is reached.
+	// ErrInvalidManifest reports a manifest that cannot be decoded or whose chunks do not cover its files.
+	ErrInvalidManifest = errors.New("manifest is invalid")
+	// ErrStoreFull reports that the store has reached its memory limit.
 	ErrStoreFull = errors.New("store is full")
-	// ErrChunkNotFound reports a chunk that is not held.
-	ErrChunkNotFound = errors.New("chunk is not held")
+	// ErrChunkNotFound reports a chunk that the store does not hold.
+	ErrChunkNotFound = errors.New("chunk not found")
 )
 
-// File is one file of a version.
+// File is one file of a model version.
 type File struct {
 	Path string `json:"path"`
 	// Size is in bytes.
 	Size int64 `json:"size"`
-	// Blob is the name of the file's content in the weight store, such as
-	// "sha256:…".
+	// Blob is the name of the file's content in the weight store, for example "sha256:…".
 	Blob string `json:"blob"`
 }
 
-// Chunk is a range of one file.
+// Chunk is a contiguous byte range of one file.
 type Chunk struct {
+	// File is the index of the file in Manifest.Files.
 	File int `json:"file"`
-	// Offset and Size are in bytes.
+	// Offset within the file and Size are in bytes.
 	Offset int64  `json:"offset"`
 	Size   int64  `json:"size"`
 	Digest Digest `json:"digest"`
 }
 
-// Manifest describes one version. Chunks stand in the order of the files.
+// Manifest describes one version of a model's weights. Chunks are in the order of the files.
 type Manifest struct {
 	Model   string  `json:"model"`
 	Version string  `json:"version"`
 	Files   []File  `json:"files"`
 	Chunks  []Chunk `json:"chunks"`
-	// WholeDigest is the digest of all content in order; zero where the publisher gives
-	// only those of the chunks.
+	// WholeDigest is the digest of all content in order. It is zero if the publisher provides digests
+	// of the chunks only.
 	WholeDigest Digest `json:"whole"`
-	// Hash is how the digests of the chunks were made; empty for BLAKE3.
+	// Hash is the algorithm of the chunk digests; empty for BLAKE3.
 	Hash Hash `json:"hash,omitempty"`
 
 	digest Digest
@@ -141,17 +140,17 @@
 	raw    []byte
 }
 
-// Digest returns the digest of the manifest's own encoding.
+// Digest returns the BLAKE3 digest of the encoded manifest.
 func (m *Manifest) Digest() Digest { return m.digest }
 
-// Raw returns the encoding that Digest covers. It must not be changed.
+// Raw returns the encoded manifest, from which Digest is computed. Callers must not modify it.
 func (m *Manifest) Raw() []byte { return m.raw }
 
-// Size returns the bytes of all content.
+// Size returns the size of all content in bytes.
 func (m *Manifest) Size() int64 { return m.size }
 
-// Parse reads a manifest and checks it against its pin. The zero pin accepts any
-// manifest that is consistent. Errors wrap ErrDigestMismatch or ErrInvalidManifest.
+// Parse decodes a manifest and checks it against the pinned digest. A zero pin accepts any valid
+// manifest. Errors wrap ErrDigestMismatch or ErrInvalidManifest.
 func Parse(content []byte, pin Digest) (*Manifest, error) {
 	digest := Sum(content)
 	if !pin.IsZero() && digest != pin {
@@ -169,7 +168,7 @@
 	return &manifest, nil
 }
 
-// check requires that the chunks cover each file exactly once and in order.
+// check requires that the chunks cover each file exactly once and in order, and sets the size.
 func (m *Manifest) check() error {
 	file, offset := 0, int64(0)
 	m.size = 0
@@ -179,7 +178,7 @@
 		}
 		if chunk.File != file || chunk.Offset != offset || chunk.Size <= 0 || file >= len(m.Files) ||
 			chunk.Size > m.Files[file].Size-offset {
-			return fmt.Errorf("chunk %d covers file %d from %d for %d bytes, expected file %d from %d: %w",
+			return fmt.Errorf("chunk %d covers file %d from offset %d for %d bytes, want file %d from offset %d: %w",
 				i, chunk.File, chunk.Offset, chunk.Size, file, offset, ErrInvalidManifest)
 		}
 		offset += chunk.Size
@@ -189,29 +188,30 @@
 		file, offset = file+1, 0
 	}
 	if file != len(m.Files) {
-		return fmt.Errorf("file %d is covered up to byte %d of %d: %w", file, offset, m.Files[file].Size, ErrInvalidManifest)
+		return fmt.Errorf("chunks cover file %d up to byte %d of %d: %w", file, offset, m.Files[file].Size, ErrInvalidManifest)
 	}
 	return nil
 }
 
-// Source is one file to be published.
+// Source is one file to publish.
 type Source struct {
 	Path string
 	Blob string
 	Open func() (io.ReadCloser, error)
 }
 
-// Build reads files once and returns the manifest with its encoding.
+// Build reads each source once and returns its manifest, also in encoded form. The chunk size is in
+// bytes; the last chunk of a file can be smaller.
 func Build(model, version string, sources []Source, chunkSize int64) (*Manifest, []byte, error) {
 	manifest := &Manifest{Model: model, Version: version}
-	whole := blake3.New()
+	hasher := blake3.New()
 	buffer := make([]byte, chunkSize)
 	for _, source := range sources {
-		if err := manifest.add(source, whole, buffer); err != nil {
+		if err := manifest.add(source, hasher, buffer); err != nil {
 			return nil, nil, fmt.Errorf("reading %s: %w", source.Path, err)
 		}
 	}
-	whole.Sum(manifest.WholeDigest[:0])
+	hasher.Sum(manifest.WholeDigest[:0])
 	content, err := json.Marshal(manifest)
 	if err != nil {
 		return nil, nil, fmt.Errorf("encoding manifest: %w", err)
@@ -220,7 +220,7 @@
 	return parsed, content, err
 }
 
-func (m *Manifest) add(source Source, whole io.Writer, buffer []byte) error {
+func (m *Manifest) add(source Source, hasher io.Writer, buffer []byte) error {
 	reader, err := source.Open()
 	if err != nil {
 		return err
@@ -232,7 +232,7 @@
 		if n > 0 {
 			m.Chunks = append(m.Chunks, Chunk{File: len(m.Files), Offset: file.Size, Size: int64(n), Digest: Sum(buffer[:n])})
 			file.Size += int64(n)
-			_, _ = whole.Write(buffer[:n])
+			_, _ = hasher.Write(buffer[:n])
 		}
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			break
@@ -245,8 +245,8 @@
 	return nil
 }
 
-// FromDigests returns the manifest of a version that is published as numbered
-// chunks of one size with their digests. Errors wrap ErrInvalidManifest.
+// FromDigests returns the manifest of a version that consists of chunks of equal size in bytes, given
+// the digests of the chunks in order. Errors wrap ErrInvalidManifest.
 func FromDigests(model, version string, hash Hash, chunkSize int64, digests []Digest) (*Manifest, error) {
 	size := chunkSize * int64(len(digests))
 	manifest := &Manifest{Model: model, Version: version, Hash: hash, Files: []File{{Path: model, Size: size}}}
--- a/pkg/weights/origin_test.go
+++ b/pkg/weights/origin_test.go
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// originSimulation is boxes that draw the chunks of a version which has just been named from an origin
-// whose link sends one after the other. All hold a chunk some time after it was drawn.
+// originSimulation is a set of boxes that download a newly published version from an origin. The origin's link
+// sends one chunk after another. Every box holds a chunk propagationTime after the origin has sent it.
 type originSimulation struct {
 	manifest *Manifest
 	pickers  []*Picker
 	byName   map[string]int
 	starts   []time.Duration
 	dead     []bool
-	// sent is when each chunk was first whole at a box, draws how many were sent.
+	// sent is the time at which each chunk first arrived at a box; originFetches counts the chunks sent.
 	sent          []time.Duration
 	originFetches int
-	// killed are the boxes that are killed at a moment.
+	// killed lists the boxes that stop at killAt.
 	killed []int
 	killAt time.Duration
 }
@@ -28,77 +28,77 @@
 const (
 	simulationStep = 10 * time.Millisecond
 	chunkCount     = 48
-	// chunkTransferTime is how long a chunk takes over the origin's link.
+	// chunkTransferTime is the time that a chunk takes over the origin's link.
 	chunkTransferTime = 44 * time.Millisecond
 	pollInterval      = 80 * time.Millisecond
-	// propagationTime is how long a chunk takes to come to all boxes.
+	// propagationTime is the time from a chunk's arrival at the first box until all boxes hold it.
 	propagationTime = time.Second
 )
 
-// run runs the draws until the origin goes away.
-func (d *originSimulation) run(named time.Time, until time.Duration) {
+// run simulates the download until the origin becomes unavailable, at the given time after the publication.
+func (s *originSimulation) run(publishedAt time.Time, until time.Duration) {
 	type transfer struct {
 		box  int
 		task FetchTask
 	}
-	var link []transfer
-	free, polled := time.Duration(0), time.Duration(0)
+	var queue []transfer
+	linkFree, polled := time.Duration(0), time.Duration(0)
 	for at := time.Duration(0); at < until; at += simulationStep {
-		now := named.Add(at)
-		if at >= d.killAt {
-			for _, box := range d.killed {
-				d.dead[box] = true
+		now := publishedAt.Add(at)
+		if at >= s.killAt {
+			for _, box := range s.killed {
+				s.dead[box] = true
 			}
 		}
-		for len(link) > 0 && free <= at {
-			done := link[0]
-			link = link[1:]
-			d.originFetches++
-			if d.dead[done.box] {
-				free += chunkTransferTime
+		for len(queue) > 0 && linkFree <= at {
+			completed := queue[0]
+			queue = queue[1:]
+			s.originFetches++
+			if s.dead[completed.box] {
+				linkFree += chunkTransferTime
 				continue
 			}
-			d.pickers[done.box].Done(done.task, now)
-			if d.sent[done.task.Chunk] == 0 {
-				d.sent[done.task.Chunk] = at
+			s.pickers[completed.box].Done(completed.task, now)
+			if s.sent[completed.task.Chunk] == 0 {
+				s.sent[completed.task.Chunk] = at
 			}
-			free += chunkTransferTime
+			linkFree += chunkTransferTime
 		}
 		if at-polled >= pollInterval {
 			polled = at
-			d.poll(now, at)
+			s.poll(now, at)
 		}
-		for i, p := range d.pickers {
-			if d.dead[i] || at < d.starts[i] {
+		for i, p := range s.pickers {
+			if s.dead[i] || at < s.starts[i] {
 				continue
 			}
 			for task, ok := p.Next(now); ok; task, ok = p.Next(now) {
-				if len(link) == 0 {
-					free = at + chunkTransferTime
+				if len(queue) == 0 {
+					linkFree = at + chunkTransferTime
 				}
-				link = append(link, transfer{i, task})
+				queue = append(queue, transfer{i, task})
 			}
 		}
 	}
 }
 
-// poll tells each box what those hold that it asks, and gives it the chunks that have come
-// round.
-func (d *originSimulation) poll(now time.Time, at time.Duration) {
-	for _, p := range d.pickers {
+// poll updates the holdings of the boxes that each box polls, and marks the chunks that have propagated as
+// held. Neighbour windows are full, so that boxes fetch from the origin only.
+func (s *originSimulation) poll(now time.Time, at time.Duration) {
+	for _, p := range s.pickers {
 		p.lastProgress = now
-		for chunk, sent := range d.sent {
+		for chunk, sent := range s.sent {
 			if sent > 0 && at-sent >= propagationTime && !p.held.Has(chunk) {
 				p.held.Set(chunk)
 				p.missing--
 			}
 		}
 		for _, box := range p.BoxesToPoll() {
-			switch j := d.byName[box]; {
-			case d.dead[j]:
+			switch j := s.byName[box]; {
+			case s.dead[j]:
 				p.SetHoldings(box, nil)
-			case at >= d.starts[j]:
-				p.SetHoldings(box, d.pickers[j].held)
+			case at >= s.starts[j]:
+				p.SetHoldings(box, s.pickers[j].held)
 				p.RecordResponse(box, now)
 				p.neighbours[box].running = p.options.NeighbourWindow
 			}
@@ -106,13 +106,13 @@
 	}
 }
 
-func newOriginSimulation(t require.TestingT, boxes int, starts func(box int) time.Duration, named time.Time) *originSimulation {
+func newOriginSimulation(t require.TestingT, boxes int, starts func(box int) time.Duration, publishedAt time.Time) *originSimulation {
 	data := make([]byte, chunkCount)
 	for i := range data {
 		data[i] = byte(i)
 	}
 	m := buildManifest(t, 1, data)
-	d := &originSimulation{manifest: m, byName: make(map[string]int), dead: make([]bool, boxes), sent: make([]time.Duration, chunkCount)}
+	s := &originSimulation{manifest: m, byName: make(map[string]int), dead: make([]bool, boxes), sent: make([]time.Duration, chunkCount)}
 	options := DefaultPickerOptions()
 	options.OriginWindow, options.OriginInterval, options.OriginBurst, options.OriginHedgeDelay = 4, chunkTransferTime, 2, 4*chunkTransferTime
 	options.SilenceTimeout = 400 * time.Millisecond
@@ -122,105 +122,105 @@
 		all = append(all, Peer{Box: boxName(i)})
 	}
 	for i := range boxes {
-		d.byName[boxName(i)] = i
-		d.starts = append(d.starts, starts(i))
-		p := NewPicker(m, boxName(i), nil, options, named.Add(d.starts[i]))
-		p.SetScheduleStart(named)
+		s.byName[boxName(i)] = i
+		s.starts = append(s.starts, starts(i))
+		p := NewPicker(m, boxName(i), nil, options, publishedAt.Add(s.starts[i]))
+		p.SetScheduleStart(publishedAt)
 		p.SetOriginFetchers(all)
-		d.pickers = append(d.pickers, p)
+		s.pickers = append(s.pickers, p)
 	}
-	return d
+	return s
 }
 
-// A second drawer counted its wait from the start of the copy and not from a chunk's turn: one
-// chunk in five was drawn twice, and the last ones had not left an origin that went away 2.5 s
-// after the version was named, though a copy takes 2.1 s over its link.
+// When a second fetcher counted its wait from the start of the download instead of the chunk's scheduled time,
+// one chunk in five was fetched twice. The last chunks then had not left an origin that became unavailable 2.5 s
+// after the publication, although one download takes 2.1 s over its link.
 func TestOriginAvailableForOneDownloadSendsEveryChunk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		named := time.Unix(1000, 0)
+		publishedAt := time.Unix(1000, 0)
 		boxes := rapid.IntRange(20, 80).Draw(t, "boxes")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		d := newOriginSimulation(t, boxes, func(int) time.Duration {
+		s := newOriginSimulation(t, boxes, func(int) time.Duration {
 			return 100*time.Millisecond + time.Duration(random.Int64N(int64(200*time.Millisecond)))
-		}, named)
-		d.run(named, 400*time.Millisecond+chunkCount*chunkTransferTime)
-		for chunk, at := range d.sent {
+		}, publishedAt)
+		s.run(publishedAt, 400*time.Millisecond+chunkCount*chunkTransferTime)
+		for chunk, at := range s.sent {
 			if at == 0 {
-				t.Fatalf("chunk %d has not left the origin", chunk)
+				t.Fatalf("origin has not sent chunk %d", chunk)
 			}
 		}
-		if d.originFetches > chunkCount*110/100 {
-			t.Fatalf("%d draws for %d chunks", d.originFetches, chunkCount)
+		if s.originFetches > chunkCount*110/100 {
+			t.Fatalf("%d origin fetches for %d chunks", s.originFetches, chunkCount)
 		}
 	})
 }
 
-// Those chunks whose first drawer was cut off all along come last, and take no chunk's place.
+// The chunks of first fetchers that are unreachable from the start come last, without displacing other chunks.
 func TestSecondFetcherReplacesUnreachableFirst(t *testing.T) {
-	named := time.Unix(1000, 0)
-	d := newOriginSimulation(t, 20, func(int) time.Duration { return 200 * time.Millisecond }, named)
-	d.dead[3], d.dead[11] = true, true
-	d.run(named, 3*time.Second)
-	for chunk, at := range d.sent {
-		require.NotZero(t, at, "chunk %d has not left the origin", chunk)
+	publishedAt := time.Unix(1000, 0)
+	s := newOriginSimulation(t, 20, func(int) time.Duration { return 200 * time.Millisecond }, publishedAt)
+	s.dead[3], s.dead[11] = true, true
+	s.run(publishedAt, 3*time.Second)
+	for chunk, at := range s.sent {
+		require.NotZero(t, at, "origin has not sent chunk %d", chunk)
 		require.Less(t, at, 600*time.Millisecond+chunkCount*chunkTransferTime, "chunk %d", chunk)
 	}
-	require.LessOrEqual(t, d.originFetches, chunkCount*110/100)
+	require.LessOrEqual(t, s.originFetches, chunkCount*110/100)
 }
 
-// What agents had still to draw that were killed while the version came was drawn by others
-// 1.7 s after its turn, when the origin had gone away, and their own fleet waited eight
-// seconds for two chunks.
+// When boxes were killed during a download, the second fetchers fetched the remaining chunks 1.7 s after their
+// scheduled time. The origin was unavailable by then, and the fleet waited eight seconds for two chunks.
 func TestChunksOfKilledFetchersAreFetchedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		named := time.Unix(1000, 0)
+		publishedAt := time.Unix(1000, 0)
 		boxes := rapid.IntRange(20, 80).Draw(t, "boxes")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		d := newOriginSimulation(t, boxes, func(int) time.Duration {
+		s := newOriginSimulation(t, boxes, func(int) time.Duration {
 			return 50*time.Millisecond + time.Duration(random.Int64N(int64(150*time.Millisecond)))
-		}, named)
-		d.killed = rapid.SliceOfNDistinct(rapid.IntRange(0, boxes-1), boxes/15, boxes/15, rapid.ID).Draw(t, "killed")
-		d.killAt = time.Duration(rapid.IntRange(300, 1700).Draw(t, "kill_ms")) * time.Millisecond
-		d.run(named, 500*time.Millisecond+chunkCount*chunkTransferTime)
-		for chunk, at := range d.sent {
-			if at == 0 && d.hasLiveFetcher(chunk) {
-				t.Fatalf("chunk %d has not left the origin", chunk)
+		}, publishedAt)
+		s.killed = rapid.SliceOfNDistinct(rapid.IntRange(0, boxes-1), boxes/15, boxes/15, rapid.ID).Draw(t, "killed")
+		s.killAt = time.Duration(rapid.IntRange(300, 1700).Draw(t, "kill_ms")) * time.Millisecond
+		s.run(publishedAt, 500*time.Millisecond+chunkCount*chunkTransferTime)
+		for chunk, at := range s.sent {
+			if at == 0 && s.hasLiveFetcher(chunk) {
+				t.Fatalf("origin has not sent chunk %d", chunk)
 			}
 		}
 	})
 }
 
-// hasLiveFetcher reports whether the first or the second drawer of a chunk was not killed.
-func (d *originSimulation) hasLiveFetcher(chunk int) bool {
-	for i, p := range d.pickers {
-		if p.ranks[chunk] < 2 && !d.dead[i] {
+// hasLiveFetcher reports whether the first or the second fetcher of a chunk is still running.
+func (s *originSimulation) hasLiveFetcher(chunk int) bool {
+	for i, p := range s.pickers {
+		if p.ranks[chunk] < 2 && !s.dead[i] {
 			return true
 		}
 	}
 	return false
 }
 
-// Draws that begin before the manifest has come are those that the picker gives this box.
+// Origin fetches that start before the manifest is received have to be the ones for which the picker ranks
+// the box first.
 func TestFirstRankChunksMatchPickerRanks(t *testing.T) {
-	named := time.Unix(1000, 0)
+	publishedAt := time.Unix(1000, 0)
 	const boxes = 20
-	d := newOriginSimulation(t, boxes, func(int) time.Duration { return 0 }, named)
+	s := newOriginSimulation(t, boxes, func(int) time.Duration { return 0 }, publishedAt)
 	var all []Peer
 	for i := range boxes {
 		all = append(all, Peer{Box: boxName(i)})
 	}
-	drawn := 0
-	for i, p := range d.pickers {
+	total := 0
+	for i, p := range s.pickers {
 		var first []int
 		for chunk, rank := range p.ranks {
 			if rank == 0 {
 				first = append(first, chunk)
 			}
 		}
-		require.Equal(t, first, FirstRankChunks(d.manifest.Model, d.manifest.Version, boxName(i), all, chunkCount))
-		drawn += len(first)
+		require.Equal(t, first, FirstRankChunks(s.manifest.Model, s.manifest.Version, boxName(i), all, chunkCount))
+		total += len(first)
 	}
-	require.Equal(t, chunkCount, drawn)
+	require.Equal(t, chunkCount, total)
 }
 
 func BenchmarkFirstRankChunks(b *testing.B) {
--- a/pkg/weights/picker.go
+++ b/pkg/weights/picker.go
@@ -7,49 +7,50 @@
 	"time"
 )
 
-// PickerOptions sets how a copy is fetched.
+// PickerOptions configures the download of one version. Windows are numbers of concurrent fetches.
 type PickerOptions struct {
-	// NeighbourWindow is how many fetches run at once from one neighbour.
+	// NeighbourWindow limits the concurrent fetches from one neighbour.
 	NeighbourWindow int
-	// OriginWindow is how many run at once from the origin.
+	// OriginWindow limits the concurrent fetches from the origin.
 	OriginWindow int
-	// OriginInterval is how long after the one before it each chunk is drawn by its first
-	// drawer. If all are drawn at once, they share the origin's link and all come at
-	// the same late moment. 0 draws at once.
+	// OriginInterval is the time between the scheduled origin fetches of consecutive chunks. 0 schedules all
+	// chunks at once; they then share the origin's link, and all of them complete late.
 	OriginInterval time.Duration
-	// OriginBurst is how many chunks are drawn before their pace, so that the origin's link is
-	// not idle while the boxes hear of a version, and begin, one after the other.
+	// OriginBurst is the number of chunks by which the schedule runs ahead of OriginInterval. It keeps the
+	// origin's link busy while boxes discover a new version and start downloading at different times.
 	OriginBurst int
-	// OriginHedgeDelay is after how long from the last chunk's turn chunks are drawn by their second
-	// drawers too, if the first, whom these ask, do not show them. Before, each would take the
-	// place of a chunk that has not left the origin yet. 0 leaves it at the waits below.
+	// OriginHedgeDelay is the time after the end of the schedule at which a second fetcher also fetches a
+	// chunk from the origin, unless the first fetcher, which it polls, holds the chunk by then. An earlier
+	// hedge would displace a chunk that has not left the origin yet. 0 disables hedging; RankDelay and
+	// MaxOriginWait still apply.
 	OriginHedgeDelay time.Duration
-	// SilenceTimeout is after how long a first drawer that was heard counts as killed or cut off: its
-	// chunks are drawn by the second in its place.
+	// SilenceTimeout is the time after its last response at which a first fetcher counts as stopped or
+	// disconnected. The second fetcher then fetches its chunks instead.
 	SilenceTimeout time.Duration
-	// TotalWindow is how many run at once in all; 0 for no such bound. A small one
-	// keeps the box's link free for requests.
+	// TotalWindow limits all concurrent fetches; 0 for no limit. A small window leaves room for requests on
+	// the box's link.
 	TotalWindow int
-	// RankDelay is how long each place in the order of drawers waits for the
-	// one before it, counted from the last chunk that this box got.
+	// RankDelay is how long each rank waits for the rank before it, counted from the last chunk that this
+	// box received.
 	RankDelay time.Duration
-	// MaxOriginWait is after how long the waits of RankDelay are counted from the start of
-	// the copy or the last draw that failed, even while other chunks come: a first drawer may be on a link
-	// that has become slow. 0 leaves it at RankDelay.
+	// MaxOriginWait bounds the wait for earlier ranks while other chunks keep arriving, because a first
+	// fetcher can be on a link that has become slow. It counts from the start of the download, the last
+	// failed origin fetch or the chunk's scheduled time, whichever is latest; each rank adds one RankDelay.
+	// 0 sets no bound.
 	MaxOriginWait time.Duration
-	// MaxRemoteWait is the same for chunks that another box of the region is to bring
-	// over a long link.
+	// MaxRemoteWait is the same bound for chunks that another box of the region fetches from another region.
 	MaxRemoteWait time.Duration
-	// MaxFailures is after how many faults a neighbour is no longer asked.
+	// MaxFailures is the number of consecutive failures after which a neighbour is no longer used.
 	MaxFailures int
 }
 
-// DefaultPickerOptions suits links of about two copies in the time allowed.
+// DefaultPickerOptions returns options for links that can transfer about two copies of the weights in the
+// available time.
 func DefaultPickerOptions() PickerOptions {
 	return PickerOptions{NeighbourWindow: 2, OriginWindow: 4, RankDelay: 2 * time.Second, MaxFailures: 3}
 }
 
-// FetchTask is one fetch. From is empty for the origin.
+// FetchTask is the fetch of one chunk. From is the box to fetch from, or empty for the origin.
 type FetchTask struct {
 	Chunk int
 	From  string
@@ -64,32 +65,32 @@
 	held     Bits
 	running  int
 	failures int
-	// lastResponse is when it last answered; zero if it never has.
+	// lastResponse is when the box last responded; zero if it never has.
 	lastResponse time.Time
-	// meanFetchTime is how long a chunk from there took, in the mean.
+	// meanFetchTime is the moving average of the time to fetch a chunk from the box.
 	meanFetchTime time.Duration
 }
 
-// anyRank is after the last place in any order of drawers.
+// anyRank is a rank limit that admits every rank.
 const anyRank = math.MaxInt
 
-// fetchTimeSmoothing is the weight of the newest chunk in a neighbour's pace.
+// fetchTimeSmoothing is the weight of the newest fetch in a neighbour's mean fetch time.
 const fetchTimeSmoothing = 0.3
 
-// Picker decides which chunk to fetch next. It is not safe for concurrent use.
+// Picker decides which chunk to fetch next and from where. It is not safe for concurrent use.
 type Picker struct {
 	manifest *Manifest
 	self     string
 	options  PickerOptions
-	// lastProgress is when the last chunk was got. While chunks keep coming, one
-	// that is not shown yet is most likely on its way through other boxes.
+	// lastProgress is when the last chunk was received. While chunks keep arriving, a chunk that no neighbour
+	// holds yet is most likely in transit through other boxes.
 	lastProgress time.Time
-	// waitStart is from when the waits for other drawers count: the start of the copy,
-	// or the last draw of this box that failed. If the origin is away it is so for all,
-	// and when it returns each chunk is again for its first drawer.
+	// waitStart is the time from which waits for earlier ranks count: the start of the download, or the retry
+	// time after the last failed origin fetch. An origin that is down is down for all boxes, and when it
+	// recovers, each chunk is again fetched by its first fetcher.
 	waitStart time.Time
-	// scheduleStart is from when the pace of the draws counts. It stays when a draw fails: counted
-	// anew, a late chunk waited for its whole place again, and 204 boxes for that one chunk.
+	// scheduleStart is when the schedule of origin fetches starts. A failed fetch does not reset it: after a
+	// reset, a late chunk waited for its full offset again, and 204 boxes waited for that one chunk.
 	scheduleStart time.Time
 
 	held          Bits
@@ -97,28 +98,31 @@
 	running       map[int]time.Time
 	originFetches int
 	neighbours    map[string]*neighbour
-	// sortedNeighbours holds the neighbours by name, so that decisions are repeatable.
+	// sortedNeighbours holds the neighbours sorted by box name, which makes decisions deterministic.
 	sortedNeighbours []*neighbour
 	configuredPeers  []Peer
 	originFetchers   []Peer
-	ranks            []int
-	// regionRanks orders the boxes of the own region; remoteChunks holds the chunks
-	// to be asked of a box of another region.
-	regionRanks  []int
+	// ranks holds the rank of this box for each chunk among all boxes.
+	ranks []int
+	// regionRanks holds the rank of this box for each chunk among the boxes of its region.
+	regionRanks []int
+	// remoteChunks holds the chunks to fetch from another region, by the box to fetch them from.
 	remoteChunks map[string][]int
-	// hedgedChunks holds the chunks of which this box is the second drawer, by the first.
+	// hedgedChunks holds the chunks for which this box is the second fetcher, by the first fetcher.
 	hedgedChunks map[string][]int
-	// firstFetchers is the first drawer of each of these chunks.
+	// firstFetchers holds the first fetcher of each chunk in hedgedChunks.
 	firstFetchers map[int]string
-	// scores are this box's own for each chunk.
-	scores    []uint64
-	lastRetry map[int]time.Time
-	// restrictedUntil is until when only chunks are fetched that others wait for.
+	// scores holds the rendezvous score of this box for each chunk.
+	scores []uint64
+	// nextRetry holds, for a chunk whose origin fetch failed, the earliest time of the next attempt.
+	nextRetry map[int]time.Time
+	// restrictedUntil is the time until which the box fetches from neighbours only the chunks for which its
+	// region rank is 0, because other boxes wait for these.
 	restrictedUntil time.Time
 }
 
-// NewPicker returns a picker for a copy that starts now. Held chunks are not
-// fetched.
+// NewPicker returns a picker for a download that starts now. Chunks in held are not fetched. Until
+// SetOriginFetchers is called, the picker fetches every chunk from the origin.
 func NewPicker(manifest *Manifest, self string, held Bits, options PickerOptions, now time.Time) *Picker {
 	p := &Picker{
 		manifest: manifest, self: self, options: options, lastProgress: now, waitStart: now, scheduleStart: now,
@@ -126,7 +130,7 @@
 		missing:    len(manifest.Chunks),
 		running:    make(map[int]time.Time),
 		neighbours: make(map[string]*neighbour),
-		lastRetry:  make(map[int]time.Time),
+		nextRetry:  make(map[int]time.Time),
 	}
 	seed := rankSeed(manifest.Model, manifest.Version, self)
 	p.scores = make([]uint64, len(manifest.Chunks))
@@ -141,40 +145,38 @@
 	return p
 }
 
-// RestrictUntil lets the box fetch only those chunks until a time that it draws from
-// the origin or is the first of its region to bring, so that other boxes have
-// theirs whole earlier.
+// RestrictUntil limits fetches from neighbours, until the given time, to the chunks for which this box is the
+// first in its region, so other boxes complete their downloads earlier.
 func (p *Picker) RestrictUntil(until time.Time) { p.restrictedUntil = until }
 
-// SetTotalWindow changes how many fetches run at once in all.
+// SetTotalWindow changes the limit of all concurrent fetches.
 func (p *Picker) SetTotalWindow(window int) { p.options.TotalWindow = window }
 
-// Peer is another box of the rollout.
+// Peer is a box that downloads the version.
 type Peer struct {
 	Box string
 	// Remote is set for a box of another region.
 	Remote bool
 }
 
-// SetNeighbours replaces the boxes that may be asked. What is known of those
-// that stay is kept.
+// SetNeighbours replaces the boxes to fetch chunks from. State of neighbours that remain is kept.
 func (p *Picker) SetNeighbours(peers []Peer) {
 	p.configuredPeers = slices.Clone(peers)
 	p.rebuildNeighbours(p.originFetchers)
 }
 
-// rebuildNeighbours makes the neighbours those that were set, the far drawers, and the first drawers
-// of chunks that this box is the second to draw.
-func (p *Picker) rebuildNeighbours(drawers []Peer) {
-	p.originFetchers = drawers
-	before := p.neighbours
+// rebuildNeighbours sets the neighbours to the configured peers, the first fetchers in other regions, and the
+// first fetchers of chunks for which this box is the second.
+func (p *Picker) rebuildNeighbours(fetchers []Peer) {
+	p.originFetchers = fetchers
+	previous := p.neighbours
 	p.neighbours = make(map[string]*neighbour, len(p.configuredPeers)+len(p.remoteChunks))
 	p.sortedNeighbours = p.sortedNeighbours[:0]
 	add := func(peer Peer) {
 		if peer.Box == p.self || p.neighbours[peer.Box] != nil {
 			return
 		}
-		n := before[peer.Box]
+		n := previous[peer.Box]
 		if n == nil {
 			n = &neighbour{box: peer.Box}
 		}
@@ -188,16 +190,16 @@
 	for box := range p.remoteChunks {
 		add(Peer{Box: box, Remote: true})
 	}
-	for _, drawer := range drawers {
-		if p.hedgedChunks[drawer.Box] != nil {
-			add(drawer)
+	for _, fetcher := range fetchers {
+		if p.hedgedChunks[fetcher.Box] != nil {
+			add(fetcher)
 		}
 	}
 	slices.SortFunc(p.sortedNeighbours, func(a, b *neighbour) int { return strings.Compare(a.box, b.box) })
 }
 
-// BoxesToPoll returns the boxes whose holdings matter now: the neighbours that were set,
-// and the far drawers of chunks that are still missing.
+// BoxesToPoll returns the boxes whose holdings are needed now, sorted: the configured peers, and the first
+// fetchers in remoteChunks and hedgedChunks with chunks that are still missing here.
 func (p *Picker) BoxesToPoll() []string {
 	var boxes []string
 	for _, peer := range p.configuredPeers {
@@ -205,8 +207,8 @@
 			boxes = append(boxes, peer.Box)
 		}
 	}
-	for _, drawers := range []map[string][]int{p.remoteChunks, p.hedgedChunks} {
-		for box, chunks := range drawers {
+	for _, chunksByBox := range []map[string][]int{p.remoteChunks, p.hedgedChunks} {
+		for box, chunks := range chunksByBox {
 			missing := slices.ContainsFunc(chunks, func(chunk int) bool { return !p.held.Has(chunk) })
 			if missing && !slices.Contains(boxes, box) {
 				boxes = append(boxes, box)
@@ -217,23 +219,23 @@
 	return boxes
 }
 
-// SetHoldings notes what a neighbour holds.
+// SetHoldings records which chunks a neighbour holds.
 func (p *Picker) SetHoldings(box string, held Bits) {
 	if n, ok := p.neighbours[box]; ok {
 		n.held = held
 	}
 }
 
-// Missing returns how many chunks are not yet held.
+// Missing returns the number of chunks that are not held yet.
 func (p *Picker) Missing() int { return p.missing }
 
-// Next returns the next fetch; ok is false if nothing can be started now. The
-// task counts as running until Done or Failed.
+// Next returns the next fetch; ok is false if none can start now. The task counts as running until Done or
+// Failed is called.
 func (p *Picker) Next(now time.Time) (task FetchTask, ok bool) {
 	if p.options.TotalWindow > 0 && len(p.running) >= p.options.TotalWindow {
 		return FetchTask{}, false
 	}
-	// What this box is the first to draw goes before all else: others wait for it.
+	// Chunks for which this box is the first fetcher come before all others, because other boxes wait for them.
 	if task, ok = p.fromOrigin(now, 0); !ok {
 		if task, ok = p.fromNeighbour(now); !ok {
 			task, ok = p.fromOrigin(now, anyRank)
@@ -251,9 +253,8 @@
 	return task, true
 }
 
-// fromNeighbour takes the chunk that the fewest neighbours hold, from the
-// least busy of them. Ties go by a hash of box and chunk, so that boxes that
-// start together do not all fetch the same chunk.
+// fromNeighbour returns a fetch of the chunk that the fewest neighbours hold, from the least loaded of them.
+// A hash of box and chunk breaks ties, so boxes that start together do not all fetch the same chunk.
 func (p *Picker) fromNeighbour(now time.Time) (FetchTask, bool) {
 	best, bestCount, bestTie := FetchTask{Chunk: -1}, 0, uint64(0)
 	for chunk := range p.manifest.Chunks {
@@ -272,21 +273,21 @@
 	return best, best.Chunk >= 0
 }
 
-// holder returns the least busy usable neighbour with the chunk, and how many
-// neighbours hold it. A far one is asked only in this box's turn, so that about
-// one copy crosses to each region.
+// holder returns the least loaded usable neighbour that holds the chunk, and the number of neighbours that
+// hold it. A neighbour in another region is used only when this box's rank in its region is due, so about one
+// copy of the weights crosses to each region.
 func (p *Picker) holder(chunk int, now time.Time) (string, int) {
-	from, least, count := "", time.Duration(0), 0
-	mayCross := !now.Before(p.due(p.regionRanks[chunk], p.options.MaxRemoteWait))
+	from, minLoad, count := "", time.Duration(0), 0
+	remoteAllowed := !now.Before(p.due(p.regionRanks[chunk], p.options.MaxRemoteWait))
 	for _, n := range p.sortedNeighbours {
 		if !n.held.Has(chunk) {
 			continue
 		}
 		count++
-		usable := n.running < p.options.NeighbourWindow && n.failures < p.options.MaxFailures && (mayCross || !n.remote)
-		// What runs there already counts by how long chunks from there take.
-		if load := time.Duration(n.running+1) * (n.meanFetchTime + 1); usable && (from == "" || load < least) {
-			from, least = n.box, load
+		usable := n.running < p.options.NeighbourWindow && n.failures < p.options.MaxFailures && (remoteAllowed || !n.remote)
+		// Load is the expected time until the neighbour has finished its running fetches and this one.
+		if load := time.Duration(n.running+1) * (n.meanFetchTime + 1); usable && (from == "" || load < minLoad) {
+			from, minLoad = n.box, load
 		}
 	}
 	return from, count
@@ -297,7 +298,7 @@
 	return running
 }
 
-// isAvailable reports whether a usable neighbour holds the chunk, busy or not.
+// isAvailable reports whether a usable neighbour holds the chunk, even if its window is full.
 func (p *Picker) isAvailable(chunk int) bool {
 	for _, n := range p.sortedNeighbours {
 		if n.failures < p.options.MaxFailures && n.held.Has(chunk) {
@@ -307,17 +308,17 @@
 	return false
 }
 
-// Done notes that the chunk was fetched, verified and kept.
+// Done records that the chunk was fetched, verified and stored.
 func (p *Picker) Done(task FetchTask, now time.Time) {
-	taken := now.Sub(p.running[task.Chunk])
+	elapsed := now.Sub(p.running[task.Chunk])
 	p.finish(task)
 	p.lastProgress = now
 	if n, ok := p.neighbours[task.From]; ok {
 		n.failures = 0
 		if n.meanFetchTime == 0 {
-			n.meanFetchTime = taken
+			n.meanFetchTime = elapsed
 		}
-		n.meanFetchTime += time.Duration(fetchTimeSmoothing * float64(taken-n.meanFetchTime))
+		n.meanFetchTime += time.Duration(fetchTimeSmoothing * float64(elapsed-n.meanFetchTime))
 	}
 	if !p.held.Has(task.Chunk) {
 		p.held.Set(task.Chunk)
@@ -325,12 +326,12 @@
 	}
 }
 
-// Failed notes that the fetch gave nothing. A neighbour gets a strike; a draw is
-// not tried again before retry.
-func (p *Picker) Failed(task FetchTask, retry time.Time) {
+// Failed records a failed fetch. It counts against a neighbour; an origin fetch of the chunk is not retried
+// before retryAt.
+func (p *Picker) Failed(task FetchTask, retryAt time.Time) {
 	p.finish(task)
 	if task.FromOrigin() {
-		p.lastRetry[task.Chunk], p.waitStart = retry, retry
+		p.nextRetry[task.Chunk], p.waitStart = retryAt, retryAt
 		return
 	}
 	if n, ok := p.neighbours[task.From]; ok {
--- a/pkg/weights/store.go
+++ b/pkg/weights/store.go
@@ -7,9 +7,8 @@
 	"github.com/zeebo/blake3"
 )
 
-// MemoryStore holds verified chunks in memory under a stated limit. Chunks are
-// kept by digest, so versions that share chunks hold them once. It is safe for
-// concurrent use.
+// MemoryStore holds verified chunks in memory, up to a limit in bytes. Chunks are stored by digest, so
+// versions with common chunks store these once. It is safe for concurrent use.
 type MemoryStore struct {
 	limit int64
 
@@ -17,7 +16,7 @@
 	used      int64
 	chunks    map[Digest][]byte
 	manifests map[Digest]*Manifest
-	// references counts the places at which known manifests name a chunk.
+	// references counts how often the known manifests list a chunk.
 	references map[Digest]int
 }
 
@@ -31,8 +30,7 @@
 	}
 }
 
-// Add makes a version known. Chunks already held for another version count for
-// it at once.
+// Add registers a version. Chunks already held for another version are available for it at once.
 func (s *MemoryStore) Add(manifest *Manifest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +43,8 @@
 	}
 }
 
-// Put keeps a chunk if its digest is right. Errors wrap ErrDigestMismatch or ErrStoreFull.
+// Put stores a chunk after it has checked the digest. The store keeps data without copying it. Errors wrap
+// ErrDigestMismatch or ErrStoreFull.
 func (s *MemoryStore) Put(manifest *Manifest, index int, data []byte) error {
 	want := manifest.Chunks[index]
 	if int64(len(data)) != want.Size || manifest.Hash.Sum(data) != want.Digest {
@@ -64,7 +63,7 @@
 	return nil
 }
 
-// Get returns a chunk, which must not be changed. Errors wrap ErrAbsent.
+// Get returns a chunk, which callers must not modify. Errors wrap ErrChunkNotFound.
 func (s *MemoryStore) Get(manifest Digest, index int) ([]byte, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -79,7 +78,7 @@
 	return held, nil
 }
 
-// Held returns which chunks of a version are here.
+// Held returns the chunks of a version that the store holds; nil for an unknown version.
 func (s *MemoryStore) Held(manifest Digest) Bits {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -96,7 +95,7 @@
 	return bits
 }
 
-// Manifest returns a version that was added.
+// Manifest returns the manifest of a registered version.
 func (s *MemoryStore) Manifest(digest Digest) (*Manifest, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -104,25 +103,25 @@
 	return manifest, ok
 }
 
-// Verify checks the digest of the whole. Errors wrap ErrAbsent or ErrDigestMismatch.
+// Verify checks the digest of all content of a version. Errors wrap ErrChunkNotFound or ErrDigestMismatch.
 func (s *MemoryStore) Verify(manifest *Manifest) error {
-	whole := blake3.New()
+	hasher := blake3.New()
 	for i := range manifest.Chunks {
 		data, err := s.Get(manifest.Digest(), i)
 		if err != nil {
 			return err
 		}
-		_, _ = whole.Write(data)
+		_, _ = hasher.Write(data)
 	}
 	var sum Digest
-	whole.Sum(sum[:0])
+	hasher.Sum(sum[:0])
 	if sum != manifest.WholeDigest {
-		return fmt.Errorf("whole of %s: %w", manifest.Digest().Short(), ErrDigestMismatch)
+		return fmt.Errorf("content of manifest %s: %w", manifest.Digest().Short(), ErrDigestMismatch)
 	}
 	return nil
 }
 
-// Drop forgets a version and the chunks that no other version shares.
+// Drop removes a version and the chunks that no other version uses.
 func (s *MemoryStore) Drop(digest Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,14 +143,14 @@
 	}
 }
 
-// Used returns the bytes held.
+// Used returns the size of the held chunks in bytes.
 func (s *MemoryStore) Used() int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.used
 }
 
-// Bits is a set of chunk indexes, lowest bit first.
+// Bits is a set of chunk indexes, encoded with the lowest bit first.
 type Bits []byte
 
 const bitsPerByte = 8
@@ -162,7 +161,7 @@
 // Set adds an index, which must be in range.
 func (b Bits) Set(i int) { b[i/bitsPerByte] |= 1 << (i % bitsPerByte) }
 
-// Has reports whether the index is in the set; one out of range is not.
+// Has reports whether the index is in the set. An index out of range is not.
 func (b Bits) Has(i int) bool {
 	return i/bitsPerByte < len(b) && b[i/bitsPerByte]&(1<<(i%bitsPerByte)) != 0
 }
--- a/pkg/weights/swapwindow.go
+++ b/pkg/weights/swapwindow.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// SwapWindow says when one server is swapped to newer weights. The servers of a service
-// go one after the other, so that capacity stays up.
+// SwapWindow schedules the weight swap of one server. The servers of a service swap one after another, so
+// capacity stays available.
 type SwapWindow struct {
-	// Published is when the newer version was named, Barred when the weights that the
-	// server has may no longer start requests.
+	// Published is when the newer version was published, Cutoff when the older weights on the server may no
+	// longer start requests.
 	Published, Cutoff time.Time
-	// Position is the server's place in the order, from 0, among so many servers.
+	// Position is the server's zero-based position in the swap order, Servers the number of servers.
 	Position, Servers int
 }
 
 const (
-	// firstSwapFraction is after which part of the time between naming and bar the first
-	// server is swapped: before, hardly any copy is whole.
+	// firstSwapFraction is the fraction of the time from publication to cutoff after which the first server
+	// swaps. Earlier, hardly any download is complete.
 	firstSwapFraction = 0.31
-	// swapDuration is for how long a server is out of service for a swap.
+	// swapDuration is how long a swap takes a server out of service.
 	swapDuration = 900 * time.Millisecond
-	// cutoffMargin is left between the end of the last swap and the bar, because
-	// requests that were sent shortly before the bar have to begin before it.
+	// cutoffMargin is the time from the end of the last swap to the cutoff. Requests sent shortly before the
+	// cutoff have to start before it.
 	cutoffMargin = time.Second
-	// lateSpreadFraction is the part of the remaining time over which servers are spread
-	// whose copies came after their turn.
+	// lateSpreadFraction is the fraction of the remaining time that is used to spread the servers with late
+	// downloads, which complete after the scheduled swap.
 	lateSpreadFraction = 0.6
 )
 
-// Start returns when the server is to be swapped whose copy was whole at a time.
-func (t SwapWindow) Start(whole time.Time) time.Time {
-	first := t.Published.Add(time.Duration(firstSwapFraction * float64(t.Cutoff.Sub(t.Published))))
-	last := t.Cutoff.Add(-cutoffMargin - swapDuration)
+// Start returns when the server swaps, given the time at which its download completes.
+func (w SwapWindow) Start(downloaded time.Time) time.Time {
+	first := w.Published.Add(time.Duration(firstSwapFraction * float64(w.Cutoff.Sub(w.Published))))
+	last := w.Cutoff.Add(-cutoffMargin - swapDuration)
 	if !last.After(first) {
-		return whole
+		return downloaded
 	}
-	turn := t.spread(first, last, 1)
-	if !whole.After(turn) {
-		return turn
+	scheduled := w.spread(first, last, 1)
+	if !downloaded.After(scheduled) {
+		return scheduled
 	}
-	if !last.After(whole) {
-		return whole
+	if !last.After(downloaded) {
+		return downloaded
 	}
-	return t.spread(whole, last, lateSpreadFraction)
+	return w.spread(downloaded, last, lateSpreadFraction)
 }
 
-// spread returns the place's moment in a part of the time between two others.
-func (t SwapWindow) spread(from, to time.Time, part float64) time.Time {
-	return from.Add(time.Duration(part * float64(to.Sub(from)) * float64(t.Position) / float64(max(1, t.Servers))))
+// spread returns the start for the server's position when all servers are spread evenly over a fraction of
+// the time between from and to.
+func (w SwapWindow) spread(from, to time.Time, fraction float64) time.Time {
+	return from.Add(time.Duration(fraction * float64(to.Sub(from)) * float64(w.Position) / float64(max(1, w.Servers))))
 }
--- a/pkg/weights/swapwindow_test.go
+++ b/pkg/weights/swapwindow_test.go
@@ -10,35 +10,35 @@
 
 func TestSwapsAreSpreadOverTheTimeBeforeTheCutoff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		named := time.Unix(1000, 0)
+		publishedAt := time.Unix(1000, 0)
 		bound := time.Duration(rapid.IntRange(100, 60_000).Draw(t, "bound")) * time.Millisecond
 		servers := rapid.IntRange(1, 50).Draw(t, "servers")
-		turn := SwapWindow{Published: named, Cutoff: named.Add(bound), Position: rapid.IntRange(0, servers-1).Draw(t, "place"), Servers: servers}
-		whole := named.Add(time.Duration(rapid.IntRange(0, 60_000).Draw(t, "whole")) * time.Millisecond)
-		at := turn.Start(whole)
-		if at.Before(whole) {
-			t.Fatalf("swapped at %v, before its copy was whole at %v", at, whole)
+		window := SwapWindow{Published: publishedAt, Cutoff: publishedAt.Add(bound), Position: rapid.IntRange(0, servers-1).Draw(t, "place"), Servers: servers}
+		downloaded := publishedAt.Add(time.Duration(rapid.IntRange(0, 60_000).Draw(t, "whole")) * time.Millisecond)
+		at := window.Start(downloaded)
+		if at.Before(downloaded) {
+			t.Fatalf("swap at %v, before the download completes at %v", at, downloaded)
 		}
-		if last := turn.Cutoff.Add(-cutoffMargin - swapDuration); at.After(last) && at.After(whole) {
-			t.Fatalf("swapped at %v, later than %v and than its copy", at, last)
+		if last := window.Cutoff.Add(-cutoffMargin - swapDuration); at.After(last) && at.After(downloaded) {
+			t.Fatalf("swap at %v, after the last start %v and after the download", at, last)
 		}
-		if turn.Position > 0 {
-			before := turn
+		if window.Position > 0 {
+			before := window
 			before.Position--
-			if before.Start(whole).After(at) {
-				t.Fatal("a later place goes before an earlier one")
+			if before.Start(downloaded).After(at) {
+				t.Fatal("a later position swaps before an earlier one")
 			}
 		}
 	})
 }
 
-// Nine copies that came whole at the same late moment were all swapped at once.
+// Nine servers whose downloads completed at the same late time all swapped at once.
 func TestServersWithLateDownloadsAreNotSwappedTogether(t *testing.T) {
-	named := time.Unix(1000, 0)
-	whole := named.Add(4500 * time.Millisecond)
-	turns := make(map[time.Time]bool)
-	for place := range 9 {
-		turns[SwapWindow{Published: named, Cutoff: named.Add(8 * time.Second), Position: place, Servers: 20}.Start(whole)] = true
+	publishedAt := time.Unix(1000, 0)
+	downloaded := publishedAt.Add(4500 * time.Millisecond)
+	starts := make(map[time.Time]bool)
+	for position := range 9 {
+		starts[SwapWindow{Published: publishedAt, Cutoff: publishedAt.Add(8 * time.Second), Position: position, Servers: 20}.Start(downloaded)] = true
 	}
-	require.Len(t, turns, 9)
+	require.Len(t, starts, 9)
 }
--- a/pkg/weights/weights_test.go
+++ b/pkg/weights/weights_test.go
@@ -61,12 +61,12 @@
 		"unknown file":   func(m *Manifest) { m.Chunks[1].File = 7 },
 		"no files":       func(m *Manifest) { m.Files = nil },
 	}
-	for name, breakIt := range cases {
+	for name, corrupt := range cases {
 		t.Run(name, func(t *testing.T) {
-			broken, err := Parse(good.Raw(), Digest{})
+			manifest, err := Parse(good.Raw(), Digest{})
 			require.NoError(t, err)
-			breakIt(broken)
-			content, err := json.Marshal(broken)
+			corrupt(manifest)
+			content, err := json.Marshal(manifest)
 			require.NoError(t, err)
 			_, err = Parse(content, Digest{})
 			require.ErrorIs(t, err, ErrInvalidManifest)
@@ -89,7 +89,7 @@
 	require.ErrorIs(t, s.Put(m, 0, data[:511]), ErrDigestMismatch)
 	require.ErrorIs(t, s.Verify(m), ErrChunkNotFound)
 	require.NoError(t, s.Put(m, 0, data[:512]))
-	require.NoError(t, s.Put(m, 0, data[:512]), "a chunk that is held takes no more room")
+	require.NoError(t, s.Put(m, 0, data[:512]), "storing a held chunk again needs no memory")
 	require.ErrorIs(t, s.Put(m, 1, data[512:]), ErrStoreFull)
 	require.Equal(t, int64(512), s.Used())
 	_, err := s.Get(m.Digest(), 9)
@@ -106,7 +106,7 @@
 	}
 	require.NoError(t, s.Verify(one))
 	s.Add(two)
-	require.Equal(t, 2, s.Held(two.Digest()).Count(len(two.Chunks)), "the common chunks count at once")
+	require.Equal(t, 2, s.Held(two.Digest()).Count(len(two.Chunks)), "common chunks are available at once")
 	s.Drop(one.Digest())
 	require.Equal(t, int64(1024), s.Used())
 	require.Nil(t, s.Held(one.Digest()))
@@ -114,8 +114,8 @@
 	require.Zero(t, s.Used())
 }
 
-// swarm is boxes whose pickers exchange chunks without links or time of their
-// own: each turn, every box starts one fetch and ends it.
+// swarm is a set of boxes whose pickers exchange chunks without transfer times. In each round, every box starts and
+// completes one fetch.
 type swarm struct {
 	manifest      *Manifest
 	pickers       []*Picker
@@ -135,17 +135,18 @@
 	for i := range boxes {
 		p := NewPicker(m, boxName(i), nil, options, s.now)
 		p.SetOriginFetchers(all)
-		var near []Peer
+		var neighbourPeers []Peer
 		for n := range neighbours {
-			near = append(near, Peer{Box: boxName((i + 1 + n*n) % boxes)})
+			neighbourPeers = append(neighbourPeers, Peer{Box: boxName((i + 1 + n*n) % boxes)})
 		}
-		p.SetNeighbours(near)
+		p.SetNeighbours(neighbourPeers)
 		s.pickers = append(s.pickers, p)
 	}
 	return s
 }
 
-// round lets every box that is up do one fetch; fault decides whether it fails.
+// round runs one fetch on every box that is up; fault decides whether it fails. It returns the number of missing
+// chunks of all these boxes.
 func (s *swarm) round(fault func(box int, task FetchTask) bool) (missing int) {
 	for i, p := range s.pickers {
 		if s.down[i] {
@@ -181,7 +182,7 @@
 	m := buildManifest(t, 64, randomBytes(1, 64*100))
 	s := newSwarm(m, 40, 6, DefaultPickerOptions())
 	for s.round(noFault) > 0 {
-		require.Less(t, s.now.Unix(), int64(1_000_600), "the copy does not end")
+		require.Less(t, s.now.Unix(), int64(1_000_600), "the download does not complete")
 	}
 	require.Equal(t, len(m.Chunks), s.originFetches)
 }
@@ -193,7 +194,7 @@
 		s.down[2*i] = true
 	}
 	for s.round(noFault) > 0 {
-		require.Less(t, s.now.Unix(), int64(1_000_600), "the copy does not end")
+		require.Less(t, s.now.Unix(), int64(1_000_600), "the download does not complete")
 	}
 	require.LessOrEqual(t, s.originFetches, 2*len(m.Chunks))
 }
@@ -201,21 +202,21 @@
 func TestFailingNeighbourIsExcluded(t *testing.T) {
 	m := buildManifest(t, 64, randomBytes(1, 64*50))
 	s := newSwarm(m, 6, 4, DefaultPickerOptions())
-	asked := 0
-	bad := func(_ int, task FetchTask) bool {
+	fetches := 0
+	fromFaultyBox := func(_ int, task FetchTask) bool {
 		if task.From == boxName(1) {
-			asked++
+			fetches++
 		}
 		return task.From == boxName(1)
 	}
-	for s.round(bad) > 0 {
-		require.Less(t, s.now.Unix(), int64(1_000_600), "the copy does not end")
+	for s.round(fromFaultyBox) > 0 {
+		require.Less(t, s.now.Unix(), int64(1_000_600), "the download does not complete")
 	}
-	require.LessOrEqual(t, asked, 5*DefaultPickerOptions().MaxFailures)
+	require.LessOrEqual(t, fetches, 5*DefaultPickerOptions().MaxFailures)
 }
 
-// Whatever fails and whoever goes away, a copy ends once one good source is
-// reachable, no chunk is fetched twice at once, and no window is exceeded.
+// After any sequence of failed fetches and stopped boxes, a download has to complete once the origin and all
+// fetches work again.
 func TestDownloadCompletesOnceOriginResponds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := buildManifest(t, 64, randomBytes(1, 64*rapid.IntRange(1, 12).Draw(t, "chunks")))
@@ -231,9 +232,9 @@
 			s.down[at] = rapid.Bool().Draw(t, "down") && at != 0
 			s.round(fault)
 		}
-		for turns := 0; s.round(noFault) > 0; turns++ {
-			if turns > 5000 {
-				t.Fatalf("the copy does not end")
+		for rounds := 0; s.round(noFault) > 0; rounds++ {
+			if rounds > 5000 {
+				t.Fatalf("the download does not complete")
 			}
 		}
 	})
@@ -269,12 +270,12 @@
 		b.Run(fmt.Sprintf("boxes=%d", boxes), func(b *testing.B) {
 			m := buildManifest(b, 16, randomBytes(1, 16*3_500))
 			p := NewPicker(m, "box-0000", nil, DefaultPickerOptions(), time.Unix(0, 0))
-			var drawers []Peer
+			var fetchers []Peer
 			for i := range boxes {
-				drawers = append(drawers, Peer{Box: boxName(i), Remote: i%6 != 0})
+				fetchers = append(fetchers, Peer{Box: boxName(i), Remote: i%6 != 0})
 			}
 			for b.Loop() {
-				p.SetOriginFetchers(drawers)
+				p.SetOriginFetchers(fetchers)
 			}
 		})
 	}
@@ -288,8 +289,8 @@
 	}
 }
 
-// All chunks drawn at once share the origin's link, and the first one comes when the
-// last one does.
+// When all chunks were fetched at once, they shared the origin's link and the first chunk arrived as late as the
+// last.
 func TestOriginFetchesArePaced(t *testing.T) {
 	m := buildManifest(t, 64, randomBytes(1, 512))
 	options := DefaultPickerOptions()
@@ -301,13 +302,13 @@
 		require.True(t, ok)
 		require.Equal(t, FetchTask{Chunk: chunk}, task)
 		_, ok = p.Next(now)
-		require.False(t, ok, "chunk %d comes only after its pace", chunk+1)
+		require.False(t, ok, "chunk %d is due one interval later", chunk+1)
 		now = now.Add(options.OriginInterval)
 	}
 }
 
-// A connection that the origin resets costs one chunk of one box a retry, and not again the
-// time that all chunks before it take over the origin's link.
+// A connection reset by the origin costs one chunk a retry. When the schedule restarted, the chunk also waited for
+// the time that all chunks before it take over the origin's link.
 func TestFailedOriginFetchIsRetriedWithoutRescheduling(t *testing.T) {
 	m := buildManifest(t, 64, randomBytes(1, 4096))
 	options := DefaultPickerOptions()
@@ -327,8 +328,8 @@
 	require.True(t, ok)
 }
 
-// While an origin was away every box tried every chunk, and when it returned they all
-// drew everything at once: 3 copies, and 3.4 s until the first was whole.
+// While an origin was unavailable, every box tried every chunk. After the origin recovered, all boxes fetched all
+// chunks at once: three copies were sent, and the first complete one took 3.4 s.
 func TestRecoveredOriginSendsEachChunkToItsFirstFetcher(t *testing.T) {
 	m := buildManifest(t, 64, randomBytes(1, 4096))
 	options := DefaultPickerOptions()
@@ -355,17 +356,17 @@
 		}
 		now = now.Add(step)
 	}
-	require.Less(t, tried, 2*len(m.Chunks)*int(6*time.Second/retry), "draws tried while the origin is away")
-	draws := 0
+	require.Less(t, tried, 2*len(m.Chunks)*int(6*time.Second/retry), "origin fetches tried while the origin is unavailable")
+	fetches := 0
 	for range int(800 * time.Millisecond / step) {
 		for _, p := range pickers {
 			for task, ok := p.Next(now); ok; task, ok = p.Next(now) {
 				p.Done(task, now)
-				draws++
+				fetches++
 			}
 		}
 		now = now.Add(step)
 	}
-	require.GreaterOrEqual(t, draws, len(m.Chunks))
-	require.LessOrEqual(t, draws, len(m.Chunks)*11/10, "a chunk is drawn by its first drawer, seldom by the next one too")
+	require.GreaterOrEqual(t, fetches, len(m.Chunks))
+	require.LessOrEqual(t, fetches, len(m.Chunks)*11/10, "the second fetcher seldom fetches a chunk too")
 }
