--- a/pkg/plan/codec_test.go
+++ b/pkg/plan/codec_test.go
@@ -10,20 +10,20 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// The planner compares a new decision with one that was read back; a value that
-// changed on the way would be published anew for ever.
+// The planner compares a new plan with the one that it decoded from the store. A value that changes when it is encoded
+// and decoded would be written again on every run.
 func TestDecodedPlanEqualsOriginal(t *testing.T) {
 	row := RowPlan{Share: 1.0 / 3, Serving: "v2", Target: "v2", Previous: "v1", RetainUntil: time.Unix(1, 5).UTC(), Replicas: 2, Live: 1}
 	raw, err := state.Encode(row)
 	require.NoError(t, err)
-	var back RowPlan
-	require.NoError(t, state.Decode(raw, &back))
-	require.True(t, row == back, "%+v", back)
+	var decoded RowPlan
+	require.NoError(t, state.Decode(raw, &decoded))
+	require.True(t, row == decoded, "%+v", decoded)
 
 	box := Assignment{Versions: []PinnedVersion{{Model: "m", Version: "v1", Manifest: weights.Sum([]byte("x"))}}}
 	raw, err = state.Encode(box)
 	require.NoError(t, err)
-	var boxBack Assignment
-	require.NoError(t, state.Decode(raw, &boxBack))
-	require.Equal(t, box, boxBack)
+	var decodedBox Assignment
+	require.NoError(t, state.Decode(raw, &decodedBox))
+	require.Equal(t, box, decodedBox)
 }
--- a/pkg/plan/placement.go
+++ b/pkg/plan/placement.go
@@ -8,36 +8,36 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// placeReplicas chooses the boxes of each version. Boxes that hold a version keep it
-// first; the rest go where the version has the fewest boxes of a domain.
+// placeReplicas chooses the boxes of each version, up to its target. Boxes that already hold the version come
+// first. The others are added from the failure domains with the fewest boxes of the version.
 func (p *modelPlan) placeReplicas(targets map[table.ModelVersion]int) map[table.ModelVersion][]member.BoxID {
-	carriers := make(map[table.ModelVersion][]member.BoxID, len(targets))
+	replicas := make(map[table.ModelVersion][]member.BoxID, len(targets))
 	taken := make(map[member.BoxID]bool, len(p.pool))
 	versions := slices.Sorted(maps.Keys(targets))
 	spreads := make(map[table.ModelVersion]*domainSpread, len(versions))
 	for _, version := range versions {
 		spreads[version] = &domainSpread{count: make(map[member.FailureDomain]int)}
 		holders := p.byDomain(func(box *member.Record) bool { return p.holds(box, version) })
-		carriers[version] = spreads[version].fill(nil, targets[version], holders, taken)
+		replicas[version] = spreads[version].fill(nil, targets[version], holders, taken)
 	}
 	free := p.byDomain(func(box *member.Record) bool { return !taken[box.Box] })
 	for _, version := range versions {
-		carriers[version] = spreads[version].fill(carriers[version], targets[version], free, taken)
+		replicas[version] = spreads[version].fill(replicas[version], targets[version], free, taken)
 	}
-	return carriers
+	return replicas
 }
 
-// domainBoxes are boxes by failure domain, in the order of their ids.
+// domainBoxes groups boxes by failure domain, sorted by box id.
 type domainBoxes struct {
 	domains []member.FailureDomain
 	boxes   map[member.FailureDomain][]member.BoxID
 }
 
-func (p *modelPlan) byDomain(use func(*member.Record) bool) *domainBoxes {
+func (p *modelPlan) byDomain(include func(*member.Record) bool) *domainBoxes {
 	out := &domainBoxes{boxes: make(map[member.FailureDomain][]member.BoxID)}
 	for i := range p.pool {
 		box := &p.pool[i]
-		if use(box) {
+		if include(box) {
 			out.boxes[box.FailureDomain] = append(out.boxes[box.FailureDomain], box.Box)
 		}
 	}
@@ -45,7 +45,7 @@
 	return out
 }
 
-// next returns the first box of a domain that is not taken yet.
+// next returns the first box of a domain that is not taken.
 func (d *domainBoxes) next(domain member.FailureDomain, taken map[member.BoxID]bool) (member.BoxID, bool) {
 	for boxes := d.boxes[domain]; len(boxes) > 0; boxes = d.boxes[domain] {
 		if !taken[boxes[0]] {
@@ -56,22 +56,23 @@
 	return "", false
 }
 
-// domainSpread counts the boxes of one version by failure domain.
+// domainSpread counts the boxes of one version in each failure domain.
 type domainSpread struct {
 	count map[member.FailureDomain]int
 }
 
-// fill adds boxes up to the target, each from the domain with the fewest.
-func (s *domainSpread) fill(chosen []member.BoxID, target int, from *domainBoxes, taken map[member.BoxID]bool) []member.BoxID {
+// fill adds candidates to the chosen boxes up to the target, each from the failure domain with the fewest boxes of
+// the version.
+func (s *domainSpread) fill(chosen []member.BoxID, target int, candidates *domainBoxes, taken map[member.BoxID]bool) []member.BoxID {
 	for len(chosen) < target {
 		var best member.BoxID
 		var bestDomain member.FailureDomain
 		found := false
-		for _, domain := range from.domains {
+		for _, domain := range candidates.domains {
 			if found && s.count[domain] >= s.count[bestDomain] {
 				continue
 			}
-			if box, ok := from.next(domain, taken); ok {
+			if box, ok := candidates.next(domain, taken); ok {
 				best, bestDomain, found = box, domain, true
 			}
 		}
@@ -85,7 +86,7 @@
 	return chosen
 }
 
-// holds reports whether a box has the version or was told to get it.
+// holds reports whether a box has the version or is assigned it by the previous plan.
 func (p *modelPlan) holds(box *member.Record, version table.ModelVersion) bool {
 	if p.in.Previous.Boxes[box.Box].includes(p.model, version) {
 		return true
--- a/pkg/plan/plan.go
+++ b/pkg/plan/plan.go
@@ -1,18 +1,19 @@
-// Package plan decides from the table and the boxes which box carries which
-// version, which share each group gets, and which version answers each group.
+// Package plan decides which box holds which model version, which share of the model's pool each group gets, and which
+// version serves each group.
 //
-// Next is a pure decision over its input: it does no I/O, reads no clock and
-// gives the same plan for the same input. A plan is kept as one item for each
-// box and each row, so that a change moves only what it touches.
+// Next is a pure function: it does no I/O, reads no clock and returns the same plan for the same input. A plan is
+// stored as one item per box and one per row, so a change rewrites only the affected items.
 //
-// A row whose version changes keeps its old version in service until enough
-// boxes have the new one live to keep the group's floor; the old version then
-// stays loaded for a while, so that an entry box that has not heard of the
-// change yet is still answered.
+// When the version of a row changes, the old version stays in service until enough boxes have the new one live to
+// meet the group's floor. The old version then stays loaded for some time, because entry boxes that have not received
+// the change yet still send requests to it.
 //
 // # Usage
 //
-//	next := plan.Next(plan.Input{Rows: rows, Boxes: boxes, Previous: previous, Now: now, Options: plan.DefaultOptions()})
+//	next := plan.Next(plan.Input{
+//		Rows: rows, Boxes: boxes, Manifests: manifests,
+//		Previous: previous, Now: now, Options: plan.DefaultOptions(),
+//	})
 //	for box, assignment := range next.Boxes { ... }
 //	for key, row := range next.Rows { ... }
 package plan
@@ -28,42 +29,42 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// Key prefixes of the plan's items in a state.Store.
+// Keys of the plan's items in a state.Store: the prefixes for boxes and rows, and the key of the head.
 const (
 	BoxPrefix = "plan/box/"
 	RowPrefix = "plan/row/"
 	HeadKey   = "plan/head"
 )
 
-// PinnedVersion is one version of a model, pinned by its manifest.
+// PinnedVersion is one version of a model together with the digest of its manifest.
 type PinnedVersion struct {
 	Model    table.Model        `json:"model" cbor:"1,keyasint,omitempty"`
 	Version  table.ModelVersion `json:"version" cbor:"2,keyasint,omitempty"`
 	Manifest weights.Digest     `json:"manifest" cbor:"3,keyasint,omitempty"`
 }
 
-// Assignment is what one box carries.
+// Assignment lists the versions that one box has to hold.
 type Assignment struct {
 	Versions []PinnedVersion `json:"weights" cbor:"1,keyasint,omitempty"`
 }
 
-// RowPlan is what is in force for one row.
+// RowPlan is the plan for one row of the table.
 type RowPlan struct {
 	Share float64 `json:"share" cbor:"1,keyasint,omitempty"`
-	// Serving answers the group's requests; Target is the table's version.
+	// Serving is the version that serves the group's requests; Target is the version in the table.
 	Serving table.ModelVersion `json:"serving" cbor:"2,keyasint,omitempty"`
 	Target  table.ModelVersion `json:"target" cbor:"3,keyasint,omitempty"`
-	// Previous stays loaded until Until.
+	// Previous is the version that served before and stays loaded until RetainUntil.
 	Previous    table.ModelVersion `json:"previous,omitempty" cbor:"4,keyasint,omitempty"`
 	RetainUntil time.Time          `json:"until,omitzero" cbor:"5,keyasint,omitzero"`
-	// Replicas is how many boxes carry Target, Live on how many it is loaded.
+	// Replicas is the number of boxes chosen for Target, Live the number of boxes that have it loaded.
 	Replicas int `json:"replicas" cbor:"6,keyasint,omitempty"`
 	Live     int `json:"live" cbor:"7,keyasint,omitempty"`
-	// WaitReason says why Serving is not Target yet.
+	// WaitReason states why Serving is not Target yet; empty if it is.
 	WaitReason string `json:"waits,omitempty" cbor:"8,keyasint,omitempty"`
 }
 
-// Head names a plan as a whole.
+// Head identifies a plan: the planner, its epoch and sequence, and the table revision that the plan is for.
 type Head struct {
 	Epoch    uint64         `json:"epoch" cbor:"1,keyasint,omitempty"`
 	Sequence uint64         `json:"sequence" cbor:"2,keyasint,omitempty"`
@@ -71,43 +72,43 @@
 	Table    table.Revision `json:"table" cbor:"4,keyasint,omitempty"`
 }
 
-// Plan is everything decided.
+// Plan holds the assignments of all boxes and the plans of all rows.
 type Plan struct {
 	Boxes map[member.BoxID]Assignment
 	Rows  map[table.Key]RowPlan
 }
 
-// Options tunes the decision.
+// Options configures Next.
 type Options struct {
-	// Retention is how long a version that no longer serves stays loaded; longer
-	// than a change takes to be in force everywhere.
+	// Retention is how long a version stays loaded after it stops serving. It has to be longer than a change
+	// takes to apply everywhere.
 	Retention time.Duration
-	// ReadyFraction is the part of a version's reachable replicas that must be live
-	// before it answers, beside the group's floor.
+	// ReadyFraction is the fraction of a version's reachable assigned replicas that must be live before it
+	// serves, in addition to the group's floor.
 	ReadyFraction float64
 }
 
-// DefaultOptions holds for changes in force within 8 s.
+// DefaultOptions returns options for changes that apply everywhere within 8 s.
 func DefaultOptions() Options {
 	return Options{Retention: 10 * time.Second, ReadyFraction: 0.5}
 }
 
-// Input is all that a plan depends on.
+// Input is everything that a plan depends on.
 type Input struct {
 	Rows []table.Row
-	// Boxes are the agents' records, silent and leaving ones included.
+	// Boxes holds the records of the agents, including silent and leaving ones.
 	Boxes []member.Record
-	// Manifests pins every version that is known to be published.
+	// Manifests holds the manifest digest of every version that is known to be published.
 	Manifests map[table.Model]map[table.ModelVersion]weights.Digest
 	Previous  Plan
 	Now       time.Time
 	Options   Options
 
-	// models holds the models of the rows.
+	// models is the set of models in the rows.
 	models map[table.Model]bool
 }
 
-// The reasons for which a row waits.
+// The values of RowPlan.WaitReason.
 const (
 	reasonVersionNotFound = "version not found in the weight store"
 	reasonNoBoxUp         = "no box of the pool is up"
@@ -115,7 +116,7 @@
 	reasonNoRoom          = "too few boxes have room for it beside the version in service"
 )
 
-// Next returns the plan that follows from the input.
+// Next returns the plan for the input.
 func Next(in Input) Plan {
 	next := Plan{Boxes: make(map[member.BoxID]Assignment), Rows: make(map[table.Key]RowPlan)}
 	byModel := make(map[table.Model][]table.Row)
@@ -133,8 +134,8 @@
 	return next
 }
 
-// keepUnreachable leaves the assignment of a box that is silent or leaving as it
-// was, so that a short silence moves no weights.
+// keepUnreachable keeps the previous assignment of a box that is silent or leaving, so a short outage moves no
+// weights.
 func (in *Input) keepUnreachable(next *Plan) {
 	for _, box := range in.Boxes {
 		before, had := in.Previous.Boxes[box.Box]
@@ -144,7 +145,7 @@
 	}
 }
 
-// modelPlan works on one model at a time.
+// modelPlan computes the plan of one model.
 type modelPlan struct {
 	in    *Input
 	model table.Model
@@ -174,11 +175,11 @@
 func (p *modelPlan) decide(next *Plan) {
 	shares := p.shares()
 	targets := p.targets(shares)
-	carriers := p.placeReplicas(targets)
+	replicas := p.placeReplicas(targets)
 	for i, row := range p.rows {
-		next.Rows[row.Key()] = p.rowPlan(row, shares[i], carriers[row.Version])
+		next.Rows[row.Key()] = p.rowPlan(row, shares[i], replicas[row.Version])
 	}
-	p.assign(next, carriers)
+	p.assign(next, replicas)
 }
 
 func (p *modelPlan) shares() []float64 {
@@ -191,7 +192,7 @@
 	return Shares(demands)
 }
 
-// targets returns how many boxes each published version gets.
+// targets returns the number of boxes for each published version.
 func (p *modelPlan) targets(shares []float64) map[table.ModelVersion]int {
 	byVersion := make(map[table.ModelVersion]float64)
 	for i, row := range p.rows {
@@ -216,12 +217,12 @@
 	return digest, ok
 }
 
-func (p *modelPlan) rowPlan(row table.Row, share float64, carriers []member.BoxID) RowPlan {
+func (p *modelPlan) rowPlan(row table.Row, share float64, replicas []member.BoxID) RowPlan {
 	before := p.in.Previous.Rows[row.Key()]
 	out := RowPlan{
 		Share: share, Target: row.Version, Serving: before.Serving,
 		Previous: before.Previous, RetainUntil: before.RetainUntil,
-		Replicas: len(carriers), Live: p.liveOn(row.Version),
+		Replicas: len(replicas), Live: p.liveOn(row.Version),
 	}
 	if out.Serving == "" {
 		out.Serving = p.initialServing(row)
@@ -241,9 +242,9 @@
 	return out
 }
 
-// initialServing is for a row without a plan: a new planner that lost the old
-// plan must not take a version out of service that is live, so it prefers the
-// table's version only where it is live or nothing else is.
+// initialServing returns the version that serves a row without a previous plan. It is the table's version if that is
+// live on any box or no version is live, otherwise the version that is live on the most boxes: a planner that lost the
+// previous plan must not take a live version out of service.
 func (p *modelPlan) initialServing(row table.Row) table.ModelVersion {
 	if p.liveOn(row.Version) > 0 {
 		return row.Version
@@ -257,7 +258,7 @@
 	return best
 }
 
-// waitReason says why the row's version cannot answer yet; empty if it can.
+// waitReason returns why the row's version cannot serve yet; empty if it can.
 func (p *modelPlan) waitReason(row table.Row, out *RowPlan) string {
 	if _, published := p.manifest(row.Version); !published {
 		return reasonVersionNotFound
@@ -268,18 +269,18 @@
 	floor := int(math.Ceil(row.Floor * float64(len(p.pool))))
 	assigned := p.assignedCount(row.Version)
 	ready := int(math.Ceil(p.in.Options.ReadyFraction * float64(min(out.Replicas, max(1, assigned)))))
-	need := max(1, min(out.Replicas, floor), ready)
+	required := max(1, min(out.Replicas, floor), ready)
 	switch {
-	case out.Live >= need:
+	case out.Live >= required:
 		return ""
-	case assigned > 0 && assigned < need:
+	case assigned > 0 && assigned < required:
 		return reasonNoRoom
 	}
 	return reasonTooFewLive
 }
 
-// assignedCount counts the boxes that the previous plan gave a version to. It can
-// be fewer than are to carry it, where old versions still take the room.
+// assignedCount returns the number of boxes that the previous plan assigns a version. It can be below the number of
+// chosen boxes while older versions still occupy the slots.
 func (p *modelPlan) assignedCount(version table.ModelVersion) int {
 	count := 0
 	for i := range p.pool {
--- a/pkg/plan/plan_test.go
+++ b/pkg/plan/plan_test.go
@@ -15,8 +15,8 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-func demand(weight, floor, ceiling, wanted float64) Demand {
-	return Demand{Weight: weight, Floor: floor, Ceiling: ceiling, Requested: wanted}
+func demand(weight, floor, ceiling, requested float64) Demand {
+	return Demand{Weight: weight, Floor: floor, Ceiling: ceiling, Requested: requested}
 }
 
 func TestSharesFollowWeightsWithinFloorsAndCeilings(t *testing.T) {
@@ -26,11 +26,11 @@
 		want    []float64
 	}{
 		{"by weight", []Demand{demand(2, 0, 1, 1), demand(1, 0, 1, 1)}, []float64{2. / 3, 1. / 3}},
-		{"floor lifts the light one", []Demand{demand(9, 0, 1, 1), demand(1, 0.5, 1, 1)}, []float64{0.5, 0.5}},
-		{"ceiling gives the rest away", []Demand{demand(9, 0, 0.3, 1), demand(1, 0, 1, 1)}, []float64{0.3, 0.7}},
-		{"idle share is borrowed", []Demand{demand(1, 0, 1, 0.1), demand(1, 0, 1, 1)}, []float64{0.1, 0.9}},
-		{"floors above one are scaled", []Demand{demand(1, 0.8, 1, 1), demand(1, 0.8, 1, 1)}, []float64{0.5, 0.5}},
-		{"ceilings leave some idle", []Demand{demand(1, 0, 0.2, 1), demand(1, 0, 0.3, 1)}, []float64{0.2, 0.3}},
+		{"floor raises the lower weight", []Demand{demand(9, 0, 1, 1), demand(1, 0.5, 1, 1)}, []float64{0.5, 0.5}},
+		{"share above the ceiling goes to others", []Demand{demand(9, 0, 0.3, 1), demand(1, 0, 1, 1)}, []float64{0.3, 0.7}},
+		{"unused share goes to others", []Demand{demand(1, 0, 1, 0.1), demand(1, 0, 1, 1)}, []float64{0.1, 0.9}},
+		{"floors above one are scaled down", []Demand{demand(1, 0.8, 1, 1), demand(1, 0.8, 1, 1)}, []float64{0.5, 0.5}},
+		{"ceilings leave capacity unused", []Demand{demand(1, 0, 0.2, 1), demand(1, 0, 0.3, 1)}, []float64{0.2, 0.3}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -39,14 +39,14 @@
 	}
 }
 
-// No claim can get more without taking from one that has less for its weight.
+// No demand can get more without taking from another one that has less for its weight.
 func TestSharesAreWeightedMaxMin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demands := make([]Demand, rapid.IntRange(1, 8).Draw(t, "claims"))
-		floors := 1.0
+		unreserved := 1.0
 		for i := range demands {
-			floor := rapid.Float64Range(0, floors/2).Draw(t, "floor")
-			floors -= floor
+			floor := rapid.Float64Range(0, unreserved/2).Draw(t, "floor")
+			unreserved -= floor
 			demands[i] = demand(rapid.Float64Range(0.1, 10).Draw(t, "weight"), floor,
 				rapid.Float64Range(floor, 1).Draw(t, "ceiling"), rapid.Float64Range(0, 1).Draw(t, "wanted"))
 		}
@@ -59,10 +59,10 @@
 				t.Fatalf("share %v of %+v", share, demands[i])
 			}
 			for j, other := range shares {
-				unfilled := share < high-1e-6
-				above := other > demands[j].Floor+1e-6 && other/demands[j].Weight > share/demands[i].Weight+1e-6
-				if unfilled && above {
-					t.Fatalf("claim %d could take from %d: %v %+v", i, j, shares, demands)
+				belowMax := share < high-1e-6
+				aboveShare := other > demands[j].Floor+1e-6 && other/demands[j].Weight > share/demands[i].Weight+1e-6
+				if belowMax && aboveShare {
+					t.Fatalf("demand %d could take from %d: %v %+v", i, j, shares, demands)
 				}
 			}
 		}
@@ -79,7 +79,7 @@
 	require.Equal(t, []int{0, 0}, Apportion([]float64{0, 0}, 4))
 }
 
-// fakePool is a fake of the boxes: they load what they are assigned after a while.
+// fakePool simulates boxes that load their assigned versions one at a time.
 type fakePool struct {
 	records []member.Record
 	plan    Plan
@@ -101,17 +101,17 @@
 }
 
 func (p *fakePool) input(rows []table.Row, versions ...table.ModelVersion) Input {
-	pins := make(map[table.ModelVersion]weights.Digest)
+	digests := make(map[table.ModelVersion]weights.Digest)
 	for _, version := range versions {
-		pins[version] = testDigest(version)
+		digests[version] = testDigest(version)
 	}
 	return Input{
 		Rows: rows, Boxes: p.records, Previous: p.plan, Now: p.now, Options: DefaultOptions(),
-		Manifests: map[table.Model]map[table.ModelVersion]weights.Digest{"m": pins, "n": pins},
+		Manifests: map[table.Model]map[table.ModelVersion]weights.Digest{"m": digests, "n": digests},
 	}
 }
 
-// applyAssignment lets a box load one missing version and drop what is not assigned.
+// applyAssignment makes a box drop the versions that are not assigned and load one assigned version that is missing.
 func (p *fakePool) applyAssignment(i int) {
 	record := &p.records[i]
 	if record.Status != member.StatusUp {
@@ -196,9 +196,9 @@
 	require.Equal(t, before, Next(p.input(in.Rows, "v1")).Boxes["box-00002"])
 }
 
-// Whatever the table is changed to while boxes load at random and fall silent,
-// no version that answers a group falls below the group's floor by the plan's
-// own doing, and no box is assigned more than fits.
+// While the table changes, boxes load versions in random order and time passes, the plan itself must not reduce the
+// boxes of a version in service below the group's floor, and no box may be assigned more versions than it has slots.
+// Once the table stops changing, every row has to reach its version.
 func TestRolloutNeverTakesAGroupBelowItsFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		versions := []table.ModelVersion{"v1", "v2", "v3"}
@@ -232,33 +232,33 @@
 		for _, r := range rows {
 			decided := p.plan.Rows[r.Key()]
 			if decided.Serving != r.Version {
-				t.Fatalf("row %v still answers with %s: %s", r.Key(), decided.Serving, decided.WaitReason)
+				t.Fatalf("row %v is still served by %s: %s", r.Key(), decided.Serving, decided.WaitReason)
 			}
 		}
 	})
 }
 
-// replan plans anew and checks what must hold at each moment.
+// replan computes a new plan and checks what must hold for every plan.
 func (p *fakePool) replan(t *rapid.T, rows []table.Row, versions []table.ModelVersion) {
 	before := p.plan
 	p.plan = Next(p.input(rows, versions...))
 	for _, r := range rows {
-		was, had := before.Rows[r.Key()]
+		previous, had := before.Rows[r.Key()]
 		now := p.plan.Rows[r.Key()]
-		if had && now.Serving != was.Serving && p.liveCount(r.Model, now.Serving) == 0 {
-			t.Fatalf("row %v was moved to %s, which is live nowhere", r.Key(), now.Serving)
+		if had && now.Serving != previous.Serving && p.liveCount(r.Model, now.Serving) == 0 {
+			t.Fatalf("row %v was moved to %s, which is live on no box", r.Key(), now.Serving)
 		}
 		floor := int(math.Ceil(r.Floor * float64(len(p.records))))
-		// A box that was told to drop the version while it did not serve may
-		// still have it; that it goes there is not this plan's doing.
+		// A box may still have the version although its previous assignment drops it, because it did not serve
+		// then. This plan does not cause the removal from such a box, so it does not count as live.
 		live, kept := 0, 0
 		for _, record := range p.records {
 			assigned := p.plan.Boxes[record.Box].Versions
 			if len(assigned) > record.Slots {
 				t.Fatalf("box %s is assigned %d versions, %d fit", record.Box, len(assigned), record.Slots)
 			}
-			was, told := before.Boxes[record.Box]
-			if record.IsLive(r.Model, now.Serving) && (!told || was.includes(r.Model, now.Serving)) {
+			previous, hadAssignment := before.Boxes[record.Box]
+			if record.IsLive(r.Model, now.Serving) && (!hadAssignment || previous.includes(r.Model, now.Serving)) {
 				live++
 			}
 			if record.IsLive(r.Model, now.Serving) && p.plan.Boxes[record.Box].includes(r.Model, now.Serving) {
--- a/pkg/plan/retention.go
+++ b/pkg/plan/retention.go
@@ -10,8 +10,8 @@
 
 func (p *modelPlan) liveOn(version table.ModelVersion) int { return p.live[version] }
 
-// countLive counts the boxes of the pool that have each version live and have
-// not been told to drop it.
+// countLive counts, for each version, the boxes of the pool that have it live and whose previous assignment, if any,
+// includes it.
 func (p *modelPlan) countLive() {
 	p.live = make(map[table.ModelVersion]int)
 	for i := range p.pool {
@@ -21,36 +21,35 @@
 	}
 }
 
-// retainedVersions are the versions that a box has live and has not been told to drop.
+// retainedVersions returns the versions that a box has live and that its previous assignment, if any, includes.
 func (p *modelPlan) retainedVersions(box *member.Record) []table.ModelVersion {
-	before, told := p.in.Previous.Boxes[box.Box]
+	before, assigned := p.in.Previous.Boxes[box.Box]
 	var versions []table.ModelVersion
-	for _, held := range box.Copies {
-		isLive := held.Model == p.model && held.Phase == member.PhaseLive
-		if isLive && (!told || before.includes(held.Model, held.Version)) {
-			versions = append(versions, held.Version)
+	for _, c := range box.Copies {
+		isLive := c.Model == p.model && c.Phase == member.PhaseLive
+		if isLive && (!assigned || before.includes(c.Model, c.Version)) {
+			versions = append(versions, c.Version)
 		}
 	}
 	return versions
 }
 
-// assign writes each box's assignment: what it must keep while a row is still
-// answered by it, then its target. Where both do not fit, a kept version gives
-// way on boxes beyond those that the floors of its rows need; if there are none,
-// the target waits.
-func (p *modelPlan) assign(next *Plan, carriers map[table.ModelVersion][]member.BoxID) {
+// assign sets the assignment of each box: the versions that rows still need there, then the target version. If both do
+// not fit, the box drops a retained version that more boxes hold than the floors of its rows require. If there is
+// none, the target waits.
+func (p *modelPlan) assign(next *Plan, replicas map[table.ModelVersion][]member.BoxID) {
 	target := make(map[member.BoxID]table.ModelVersion)
-	for version, boxes := range carriers {
+	for version, boxes := range replicas {
 		for _, box := range boxes {
 			target[box] = version
 		}
 	}
-	keeping := p.newRetention(next)
+	retained := p.newRetention(next)
 	for i := range p.pool {
 		box := &p.pool[i]
 		assignment := next.Boxes[box.Box]
 		room := max(1, box.Slots) - len(assignment.Versions) - p.reservedSlots(box)
-		for _, version := range keeping.fit(box, target[box.Box], room) {
+		for _, version := range retained.fit(box, target[box.Box], room) {
 			if digest, ok := p.manifest(version); ok {
 				assignment.Versions = append(assignment.Versions, PinnedVersion{Model: p.model, Version: version, Manifest: digest})
 			}
@@ -59,13 +58,13 @@
 	}
 }
 
-// reservedSlots counts the slots of models that are decided later, so that one model's
-// new version never pushes out what another one serves with.
+// reservedSlots returns the number of slots held for models that are planned after this one, so a new version of one
+// model never displaces a version in service of another.
 func (p *modelPlan) reservedSlots(box *member.Record) int {
 	count := 0
 	before := p.in.Previous.Boxes[box.Box]
-	for _, held := range box.Copies {
-		if held.Model > p.model && p.in.models[held.Model] && before.includes(held.Model, held.Version) {
+	for _, c := range box.Copies {
+		if c.Model > p.model && p.in.models[c.Model] && before.includes(c.Model, c.Version) {
 			count++
 		}
 	}
@@ -75,15 +74,15 @@
 // retention decides which old versions stay on which boxes.
 type retention struct {
 	plan *modelPlan
-	// kept counts the boxes that still keep a version, need how many must.
+	// kept counts the boxes that still hold a version; required is the number of boxes that have to.
 	kept     map[table.ModelVersion]int
 	required map[table.ModelVersion]int
-	// recent marks versions that were in service until lately.
+	// recent marks versions that recently stopped serving.
 	recent map[table.ModelVersion]bool
 }
 
 func (p *modelPlan) newRetention(next *Plan) *retention {
-	k := &retention{
+	r := &retention{
 		plan:     p,
 		kept:     make(map[table.ModelVersion]int),
 		required: make(map[table.ModelVersion]int),
@@ -94,24 +93,24 @@
 		decided := next.Rows[row.Key()]
 		floors[decided.Serving] += row.Floor
 		if decided.Previous != "" {
-			k.recent[decided.Previous] = true
+			r.recent[decided.Previous] = true
 		}
 	}
 	for version, floor := range floors {
-		k.required[version] = max(1, int(math.Ceil(floor*float64(len(p.pool)))))
+		r.required[version] = max(1, int(math.Ceil(floor*float64(len(p.pool)))))
 	}
 	for i := range p.pool {
-		for _, version := range k.neededVersions(&p.pool[i]) {
-			k.kept[version]++
+		for _, version := range r.neededVersions(&p.pool[i]) {
+			r.kept[version]++
 		}
 	}
-	return k
+	return r
 }
 
-// neededVersions are those that stay on the box and some row is or was answered by.
-func (k *retention) neededVersions(box *member.Record) []table.ModelVersion {
-	versions := slices.DeleteFunc(k.plan.retainedVersions(box), func(version table.ModelVersion) bool {
-		return k.required[version] == 0 && !k.recent[version]
+// neededVersions returns the versions retained on the box that serve a row or recently did.
+func (r *retention) neededVersions(box *member.Record) []table.ModelVersion {
+	versions := slices.DeleteFunc(r.plan.retainedVersions(box), func(version table.ModelVersion) bool {
+		return r.required[version] == 0 && !r.recent[version]
 	})
 	slices.Sort(versions)
 	return versions
@@ -121,28 +120,29 @@
 	return slices.ContainsFunc(a.Versions, func(w PinnedVersion) bool { return w.Model == model && w.Version == version })
 }
 
-// fit returns what the box is to carry of the model in the room that it has.
-func (k *retention) fit(box *member.Record, target table.ModelVersion, room int) []table.ModelVersion {
-	versions := k.neededVersions(box)
+// fit returns the versions of the model to assign to a box with the given number of free slots.
+func (r *retention) fit(box *member.Record, target table.ModelVersion, room int) []table.ModelVersion {
+	versions := r.neededVersions(box)
 	if target != "" && !slices.Contains(versions, target) {
 		for len(versions) >= room {
-			spare := k.surplusVersion(versions)
-			if spare < 0 {
+			surplus := r.surplusVersion(versions)
+			if surplus < 0 {
 				break
 			}
-			k.kept[versions[spare]]--
-			versions = slices.Delete(versions, spare, spare+1)
+			r.kept[versions[surplus]]--
+			versions = slices.Delete(versions, surplus, surplus+1)
 		}
 		versions = append(versions, target)
 	}
 	return versions[:max(0, min(room, len(versions)))]
 }
 
-// surplusVersion is the version with the most boxes beyond its need; -1 if there is none.
-func (k *retention) surplusVersion(versions []table.ModelVersion) int {
+// surplusVersion returns the index of the version with the most boxes beyond the required number, or -1 if no version
+// has any.
+func (r *retention) surplusVersion(versions []table.ModelVersion) int {
 	best, most := -1, 0
 	for i, version := range versions {
-		if surplus := k.kept[version] - k.required[version]; !k.recent[version] && surplus > most {
+		if surplus := r.kept[version] - r.required[version]; !r.recent[version] && surplus > most {
 			best, most = i, surplus
 		}
 	}
