--- a/pkg/table/check.go
+++ b/pkg/table/check.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Finding is one thing wrong with a table, with its place.
+// Finding is one error in a table, with its position.
 type Finding struct {
 	// Line is the line of a CSV file, from 1; 0 where there is no file.
 	Line int `json:"line,omitempty"`
@@ -17,28 +17,28 @@
 	Message string `json:"message"`
 }
 
-// String returns the finding with its place before it.
+// String returns the message, preceded by the position.
 func (f Finding) String() string {
-	var place []string
+	var position []string
 	if f.Line > 0 {
-		place = append(place, fmt.Sprintf("line %d", f.Line))
+		position = append(position, fmt.Sprintf("line %d", f.Line))
 	}
 	if f.Key != (Key{}) {
-		place = append(place, "row "+f.Key.String())
+		position = append(position, "row "+f.Key.String())
 	}
 	if f.Column != "" {
-		place = append(place, "column "+string(f.Column))
+		position = append(position, "column "+string(f.Column))
 	}
-	if len(place) == 0 {
+	if len(position) == 0 {
 		return f.Message
 	}
-	return strings.Join(place, ", ") + ": " + f.Message
+	return strings.Join(position, ", ") + ": " + f.Message
 }
 
-// Findings is every finding about a table; as an error it lists them all.
+// Findings is a list of errors in a table. It implements error.
 type Findings []Finding
 
-// Error joins the findings.
+// Error returns all findings, separated by semicolons.
 func (f Findings) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, finding := range f {
@@ -47,14 +47,14 @@
 	return strings.Join(lines, "; ")
 }
 
-// floorTolerance absorbs rounding when floors such as 0.1 are summed.
+// floorTolerance absorbs rounding errors in the sum of floors.
 const floorTolerance = 1e-9
 
-// namePattern is what a group, model or version may be called. It keeps names safe
-// in URL paths, keys and CSV.
+// namePattern matches valid names of groups, models and versions, which are safe in URL paths, keys and CSV.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// Check returns all findings about rows; their order follows the rows.
+// Check returns all findings about rows, in the order of the rows, followed by the findings about
+// models whose floors sum to more than 1.
 func Check(rows []Row) Findings {
 	var findings Findings
 	seen := make(map[Key]bool, len(rows))
@@ -95,7 +95,7 @@
 	return findings
 }
 
-// isShare is false for NaN too.
+// isShare reports whether value is from 0 to 1. It is false for NaN.
 func isShare(value float64) bool { return value >= 0 && value <= 1 }
 
 func checkFloors(floors map[Model]float64) Findings {
@@ -116,8 +116,7 @@
 	return findings
 }
 
-// CheckVersions returns a finding for each row whose version is not published.
-// A model that published does not name at all is reported as unknown.
+// CheckVersions returns a finding for each row whose version is not in published, or whose model has no entry there.
 func CheckVersions(rows []Row, published map[Model][]ModelVersion) Findings {
 	var findings Findings
 	for _, row := range rows {
--- a/pkg/table/csv.go
+++ b/pkg/table/csv.go
@@ -9,9 +9,8 @@
 	"strings"
 )
 
-// ParseCSV reads the CSV form, in which lines that start with # are comments. It
-// returns the rows with all findings, those of Check included, each with its
-// line.
+// ParseCSV reads a table in CSV form. Lines that start with # are comments. It returns the rows that can be
+// parsed and all findings, including those of Check, sorted by line.
 func ParseCSV(r io.Reader) ([]Row, Findings) {
 	reader := csv.NewReader(r)
 	reader.FieldsPerRecord = -1
@@ -37,9 +36,9 @@
 			findings = append(findings, Finding{Line: errorLine(err), Message: readErrorMessage(err)})
 			break
 		}
-		row, problems := parseRecord(record, line)
-		findings = append(findings, problems...)
-		if len(problems) == 0 {
+		row, recordFindings := parseRecord(record, line)
+		findings = append(findings, recordFindings...)
+		if len(recordFindings) == 0 {
 			rows = append(rows, row)
 			lines[row.Key()] = line
 		}
@@ -92,14 +91,14 @@
 }
 
 func errorLine(err error) int {
-	var problem *csv.ParseError
-	if errors.As(err, &problem) {
-		return problem.Line
+	var parseErr *csv.ParseError
+	if errors.As(err, &parseErr) {
+		return parseErr.Line
 	}
 	return 0
 }
 
-// WriteCSV writes rows in the CSV form.
+// WriteCSV writes rows in CSV form, starting with the header.
 func WriteCSV(w io.Writer, rows []Row) error {
 	writer := csv.NewWriter(w)
 	records := [][]string{strings.Split(headerLine(), ",")}
--- a/pkg/table/edit.go
+++ b/pkg/table/edit.go
@@ -7,46 +7,46 @@
 	"time"
 )
 
-// Change sets cells of one row, makes the row, or removes it.
+// Change sets cells of one row, adds the row, or removes it.
 type Change struct {
 	Key
-	// Set gives the new text of each changed column.
+	// Set holds the new text of each changed column.
 	Set map[Column]string `json:"set,omitempty"`
 	// Remove deletes the row; Set is then empty.
 	Remove bool `json:"remove,omitempty"`
 }
 
-// Edit is what an operator asks for.
+// Edit is a set of changes that an operator submits. It is applied completely or not at all.
 type Edit struct {
 	ID     EditID `json:"id"`
 	Author string `json:"author"`
 	Reason string `json:"reason,omitempty"`
-	// Base is the revision that the author saw.
+	// Base is the table revision on which the author based the edit.
 	Base    Revision `json:"base"`
 	Changes []Change `json:"changes"`
 }
 
-// Conflict is one cell that another edit changed after the base revision.
+// Conflict is a cell of an edit that another edit changed after the base revision.
 type Conflict struct {
 	Key
 	Column Column `json:"column"`
-	// Requested is the text asked for; Current is what the other edit left.
+	// Requested is the text in the rejected edit, Current the text that the accepted edit left.
 	Requested string `json:"wanted"`
 	Current   string `json:"current"`
-	// Edit is the edit that is refused, Other the one that was accepted.
+	// Edit is the rejected edit; OtherEdit, by OtherAuthor, is the accepted one.
 	Edit        EditID `json:"edit"`
 	OtherEdit   EditID `json:"other_edit"`
 	OtherAuthor string `json:"other_author"`
 }
 
-// ConflictError reports every cell in conflict.
+// ConflictError reports all cells of an edit that are in conflict.
 type ConflictError struct {
 	Base      Revision
 	Current   Revision
 	Conflicts []Conflict
 }
 
-// Error lists the cells in conflict.
+// Error lists the revisions and the cells in conflict.
 func (e *ConflictError) Error() string {
 	parts := make([]string, 0, len(e.Conflicts))
 	for _, c := range e.Conflicts {
@@ -56,15 +56,14 @@
 	return fmt.Sprintf("conflict between revision %d and %d: %s", e.Base, e.Current, strings.Join(parts, "; "))
 }
 
-// ErrBaseAhead reports an edit made against a revision that does not exist yet.
+// ErrBaseAhead reports an edit whose base revision does not exist yet.
 var ErrBaseAhead = errors.New("base revision is newer than the table")
 
-// ErrNoEditID reports an edit without an id.
+// ErrNoEditID reports an edit without an ID.
 var ErrNoEditID = errors.New("edit has no id")
 
-// Apply returns the table after the edit and leaves t as it was. An edit that is
-// already in the history returns t itself. Errors are *ConflictError, Findings,
-// ErrBaseAhead and ErrNoEditID.
+// Apply returns a new table with the edit applied; t is unchanged. If the history already contains the edit, Apply
+// returns t itself. Errors are *ConflictError or Findings, or wrap ErrBaseAhead or ErrNoEditID.
 func (t *Table) Apply(edit Edit, now time.Time) (*Table, error) {
 	if edit.ID == "" {
 		return nil, ErrNoEditID
@@ -105,11 +104,11 @@
 func (t *Table) conflicts(edit Edit) []Conflict {
 	var conflicts []Conflict
 	for _, change := range edit.Changes {
-		at := t.entryIndex(change.Key)
-		if at < 0 {
+		index := t.entryIndex(change.Key)
+		if index < 0 {
 			continue
 		}
-		entry := t.Entries[at]
+		entry := t.Entries[index]
 		for _, column := range change.affectedColumns(entry) {
 			changed := entry.CellRevisions[column]
 			if changed <= edit.Base {
@@ -126,8 +125,8 @@
 	return conflicts
 }
 
-// affectedColumns lists the columns on which the change depends. Removing a row, or
-// bringing a removed one back, depends on all of them.
+// affectedColumns returns the columns that the change can conflict on. Removing a row, or adding a removed row again,
+// affects all of them.
 func (c Change) affectedColumns(entry Entry) []Column {
 	if c.Remove || entry.Deleted {
 		return editableColumns
@@ -142,17 +141,17 @@
 }
 
 func (t *Table) apply(change Change) Findings {
-	at := t.entryIndex(change.Key)
+	index := t.entryIndex(change.Key)
 	if change.Remove {
-		return t.remove(change, at)
+		return t.remove(change, index)
 	}
-	if at < 0 {
+	if index < 0 {
 		t.Entries = append(t.Entries, Entry{Row: NewRow(change.Key), Deleted: true})
-		at = len(t.Entries) - 1
+		index = len(t.Entries) - 1
 	}
-	entry := &t.Entries[at]
-	made := entry.Deleted
-	if made {
+	entry := &t.Entries[index]
+	created := entry.Deleted
+	if created {
 		entry.Row = NewRow(change.Key)
 		entry.Deleted = false
 		entry.CellRevisions = make(map[Column]Revision, len(editableColumns))
@@ -164,7 +163,7 @@
 		}
 	}
 	for _, column := range editableColumns {
-		if _, set := change.Set[column]; set || made {
+		if _, set := change.Set[column]; set || created {
 			entry.CellRevisions[column] = t.Revision
 		}
 	}
@@ -179,11 +178,11 @@
 	return e.set(column, text)
 }
 
-func (t *Table) remove(change Change, at int) Findings {
-	if at < 0 || t.Entries[at].Deleted {
+func (t *Table) remove(change Change, index int) Findings {
+	if index < 0 || t.Entries[index].Deleted {
 		return Findings{{Key: change.Key, Message: "no such row to remove"}}
 	}
-	entry := &t.Entries[at]
+	entry := &t.Entries[index]
 	entry.Deleted = true
 	entry.Revision = t.Revision
 	for _, column := range editableColumns {
@@ -192,7 +191,7 @@
 	return nil
 }
 
-// Diff returns the changes that lead from the old rows to the new ones.
+// Diff returns the changes that turn the rows before into the rows after.
 func Diff(before, after []Row) []Change {
 	old := make(map[Key]Row, len(before))
 	for _, row := range before {
@@ -200,25 +199,25 @@
 	}
 	var changes []Change
 	for _, row := range after {
-		was, existed := old[row.Key()]
+		previous, existed := old[row.Key()]
 		delete(old, row.Key())
-		set := changedCells(was, row, existed)
+		set := changedCells(previous, row, existed)
 		if len(set) > 0 {
 			changes = append(changes, Change{Key: row.Key(), Set: set})
 		}
 	}
 	for _, row := range before {
-		if _, gone := old[row.Key()]; gone {
+		if _, removed := old[row.Key()]; removed {
 			changes = append(changes, Change{Key: row.Key(), Remove: true})
 		}
 	}
 	return changes
 }
 
-func changedCells(was, row Row, existed bool) map[Column]string {
+func changedCells(previous, row Row, existed bool) map[Column]string {
 	set := make(map[Column]string)
 	for _, column := range editableColumns {
-		if !existed || was.Cell(column) != row.Cell(column) {
+		if !existed || previous.Cell(column) != row.Cell(column) {
 			set[column] = row.Cell(column)
 		}
 	}
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -1,21 +1,19 @@
-// Package table holds the operators' table: a row for each group and model.
+// Package table holds the table in which operators divide models among groups, with a row for each group and model.
 //
-// A row gives a group its weight, its floor and ceiling (shares from 0 to 1 of
-// the model's pool) and the model version that it runs. An edit names cells and
-// the revision of the table that its author saw. Edits of different cells merge;
-// an edit of a cell that changed after that revision is a conflict, and the
-// conflict names both edits. Each accepted edit is kept in the history under an
-// id chosen by its author, so that an edit whose answer was lost is settled by
-// looking for its id, never by making it twice.
+// A row sets a group's weight, its floor and ceiling (shares from 0 to 1 of the model's pool) and the model version
+// that serves it. An edit lists cells to change and the revision of the table that it is based on. Edits of different
+// cells merge; an edit of a cell that changed after the base revision is a conflict, which identifies both edits. The
+// history keeps each accepted edit under an ID chosen by its author. An author who did not receive the response to an
+// edit looks up the ID instead of submitting the edit under a new one, so the edit is never applied twice.
 //
-// Nothing here does I/O; the caller writes a Table back with compare-and-swap.
+// The package does no I/O; the caller stores a Table with compare-and-swap.
 //
 // # Usage
 //
 //	rows, findings := table.ParseCSV(file)
 //	next, err := current.Apply(table.Edit{ID: id, Base: 12, Changes: changes}, now)
 //	if conflict := (*table.ConflictError)(nil); errors.As(err, &conflict) {
-//		// conflict.Conflicts names the cells and both edits
+//		// conflict.Conflicts lists the cells and both edits
 //	}
 package table
 
@@ -25,22 +23,22 @@
 	"time"
 )
 
-// Group is a research group or another customer group of an organisation.
+// Group is the name of a customer group of an organisation, for example a research group.
 type Group string
 
-// Model names a model; its backend servers answer under the service of that name.
+// Model is the name of a model. Its backend servers respond to requests for the service of that name.
 type Model string
 
-// ModelVersion names a published version of a model's weights.
+// ModelVersion is the name of a published version of a model's weights.
 type ModelVersion string
 
 // Revision counts accepted edits. The empty table has revision 0.
 type Revision uint64
 
-// EditID is chosen by the author of an edit and is unique.
+// EditID identifies an edit. Its author chooses it, and it must be unique.
 type EditID string
 
-// Column is a column that an edit can change.
+// Column is the name of a column of the table.
 type Column string
 
 // The columns of a row, in the order of the CSV form.
@@ -56,7 +54,7 @@
 // Columns lists all columns in the order of the CSV form.
 var Columns = []Column{ColumnGroup, ColumnModel, ColumnWeight, ColumnFloor, ColumnCeiling, ColumnVersion}
 
-// editableColumns are those that an edit may change in a row that exists.
+// editableColumns holds the columns that an edit can change in an existing row.
 var editableColumns = Columns[2:]
 
 // Key identifies a row.
@@ -68,15 +66,15 @@
 // String returns the key as "group/model".
 func (k Key) String() string { return string(k.Group) + "/" + string(k.Model) }
 
-// Row is one line of the table.
+// Row is one row of the table.
 type Row struct {
 	Group Group `json:"group" cbor:"1,keyasint,omitempty"`
 	Model Model `json:"model" cbor:"2,keyasint,omitempty"`
-	// Weight is relative to the other rows of the model; more than 0.
+	// Weight is relative to the other rows of the model; it must be above 0.
 	Weight float64 `json:"weight" cbor:"3,keyasint,omitempty"`
-	// Floor is the guaranteed share of the model's pool, 0 to 1.
+	// Floor is the guaranteed share of the model's pool, from 0 to 1.
 	Floor float64 `json:"floor" cbor:"4,keyasint,omitempty"`
-	// Ceiling is the largest share of the model's pool, 0 to 1.
+	// Ceiling is the maximum share of the model's pool, from 0 to 1.
 	Ceiling float64      `json:"ceiling" cbor:"5,keyasint,omitempty"`
 	Version ModelVersion `json:"version" cbor:"6,keyasint,omitempty"`
 }
@@ -84,7 +82,7 @@
 // Key returns the row's key.
 func (r Row) Key() Key { return Key{Group: r.Group, Model: r.Model} }
 
-// Cell returns the text of one cell as it stands in the CSV form.
+// Cell returns the text of one cell in CSV form; empty for an unknown column.
 func (r Row) Cell(column Column) string {
 	switch column {
 	case ColumnGroup:
@@ -103,7 +101,7 @@
 	return ""
 }
 
-// set changes one cell and returns a message if the text does not fit.
+// set changes one cell. It returns an error message if the column is unknown or the text cannot be parsed.
 func (r *Row) set(column Column, text string) string {
 	switch column {
 	case ColumnGroup:
@@ -135,23 +133,23 @@
 	return ""
 }
 
-// NewRow returns a row with the defaults for cells that an edit leaves out.
+// NewRow returns a row with the default values of the cells that an edit does not set.
 func NewRow(key Key) Row {
 	return Row{Group: key.Group, Model: key.Model, Weight: 1, Ceiling: 1}
 }
 
-// Entry is a row as kept, with the revisions that say what changed when.
+// Entry is a row as stored, with the revisions of its last changes.
 type Entry struct {
 	Row
-	// Revision is that of the last edit of the row.
+	// Revision is the revision of the last edit of the row.
 	Revision Revision `json:"revision"`
-	// CellRevisions gives the last edit of each changeable column.
+	// CellRevisions holds the revision of the last edit of each editable column.
 	CellRevisions map[Column]Revision `json:"cells"`
-	// Deleted marks a row that was removed.
+	// Deleted is set for a row that was removed.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
-// EditRecord is the history of one accepted edit.
+// EditRecord is the history entry of one accepted edit.
 type EditRecord struct {
 	ID       EditID    `json:"id"`
 	Revision Revision  `json:"revision"`
@@ -161,18 +159,18 @@
 	Changes  []Change  `json:"changes"`
 }
 
-// maxHistoryLength bounds the records kept with the table, so that its value
-// stays far below the limit of the key-value service.
+// maxHistoryLength limits the number of edits in the history, which keeps the encoded table far below the value limit
+// of the key-value service.
 const maxHistoryLength = 200
 
-// Table is the whole table as kept in the key-value service.
+// Table is the complete table as stored in the key-value service.
 type Table struct {
 	Revision Revision     `json:"revision"`
 	Entries  []Entry      `json:"rows"`
 	History  []EditRecord `json:"history"`
 }
 
-// Rows returns the rows that exist, ordered by model, then group.
+// Rows returns the rows that are not deleted, sorted by model, then group.
 func (t *Table) Rows() []Row {
 	rows := make([]Row, 0, len(t.Entries))
 	for _, entry := range t.Entries {
@@ -184,7 +182,7 @@
 	return rows
 }
 
-// SortRows orders rows by model, then group.
+// SortRows sorts rows by model, then group.
 func SortRows(rows []Row) {
 	slices.SortFunc(rows, func(a, b Row) int {
 		if a.Model != b.Model {
@@ -204,7 +202,7 @@
 	return 0
 }
 
-// Find returns the record of an edit, if it was accepted and is still kept.
+// Find returns the record of an accepted edit that is still in the history.
 func (t *Table) Find(id EditID) (EditRecord, bool) {
 	for _, record := range t.History {
 		if record.ID == id {
@@ -214,7 +212,7 @@
 	return EditRecord{}, false
 }
 
-// recordAt returns the record that made a revision, if it is still kept.
+// recordAt returns the record of a revision. If it is no longer in the history, only Revision is set.
 func (t *Table) recordAt(revision Revision) EditRecord {
 	for _, record := range t.History {
 		if record.Revision == revision {
--- a/pkg/table/table_test.go
+++ b/pkg/table/table_test.go
@@ -21,9 +21,9 @@
 		{Group: "a", Model: "m", Weight: 2, Floor: 0.5, Ceiling: 1, Version: "v1"},
 		{Group: "b", Model: "m", Weight: 1, Floor: 0.25, Ceiling: 0.75, Version: "v1"},
 	}
-	held, err := (&Table{}).Apply(Edit{ID: "first", Author: "x", Changes: Diff(nil, rows)}, testTime)
+	current, err := (&Table{}).Apply(Edit{ID: "first", Author: "x", Changes: Diff(nil, rows)}, testTime)
 	require.NoError(t, err)
-	return held
+	return current
 }
 
 func setCell(group Group, column Column, text string) []Change {
@@ -31,19 +31,19 @@
 }
 
 func TestEditsOfDifferentCellsMerge(t *testing.T) {
-	held := exampleTable(t)
-	held, err := held.Apply(Edit{ID: "one", Base: 1, Changes: setCell("a", ColumnVersion, "v2")}, testTime)
+	current := exampleTable(t)
+	current, err := current.Apply(Edit{ID: "one", Base: 1, Changes: setCell("a", ColumnVersion, "v2")}, testTime)
 	require.NoError(t, err)
-	held, err = held.Apply(Edit{ID: "two", Base: 1, Changes: setCell("a", ColumnWeight, "9")}, testTime)
+	current, err = current.Apply(Edit{ID: "two", Base: 1, Changes: setCell("a", ColumnWeight, "9")}, testTime)
 	require.NoError(t, err)
-	require.Equal(t, Row{Group: "a", Model: "m", Weight: 9, Floor: 0.5, Ceiling: 1, Version: "v2"}, held.Rows()[0])
-	require.Equal(t, Revision(3), held.Revision)
+	require.Equal(t, Row{Group: "a", Model: "m", Weight: 9, Floor: 0.5, Ceiling: 1, Version: "v2"}, current.Rows()[0])
+	require.Equal(t, Revision(3), current.Revision)
 }
 
 func TestEditsOfTheSameCellConflict(t *testing.T) {
-	held, err := exampleTable(t).Apply(Edit{ID: "one", Author: "aya", Base: 1, Changes: setCell("a", ColumnVersion, "v2")}, testTime)
+	current, err := exampleTable(t).Apply(Edit{ID: "one", Author: "aya", Base: 1, Changes: setCell("a", ColumnVersion, "v2")}, testTime)
 	require.NoError(t, err)
-	_, err = held.Apply(Edit{ID: "two", Base: 1, Changes: setCell("a", ColumnVersion, "v3")}, testTime)
+	_, err = current.Apply(Edit{ID: "two", Base: 1, Changes: setCell("a", ColumnVersion, "v3")}, testTime)
 	var conflict *ConflictError
 	require.ErrorAs(t, err, &conflict)
 	require.Equal(t, []Conflict{{
@@ -53,45 +53,45 @@
 
 func TestRemovedRowConflictsWithAnEditOfIt(t *testing.T) {
 	remove := []Change{{Key: Key{"b", "m"}, Remove: true}}
-	held, err := exampleTable(t).Apply(Edit{ID: "one", Base: 1, Changes: remove}, testTime)
+	current, err := exampleTable(t).Apply(Edit{ID: "one", Base: 1, Changes: remove}, testTime)
 	require.NoError(t, err)
-	require.Len(t, held.Rows(), 1)
-	_, err = held.Apply(Edit{ID: "two", Base: 1, Changes: setCell("b", ColumnWeight, "2")}, testTime)
+	require.Len(t, current.Rows(), 1)
+	_, err = current.Apply(Edit{ID: "two", Base: 1, Changes: setCell("b", ColumnWeight, "2")}, testTime)
 	require.ErrorAs(t, err, new(*ConflictError))
-	held, err = held.Apply(Edit{ID: "three", Base: 2, Changes: setCell("b", ColumnVersion, "v9")}, testTime)
-	require.NoError(t, err, "with the removal seen, the row is made anew")
-	require.Equal(t, Row{Group: "b", Model: "m", Weight: 1, Ceiling: 1, Version: "v9"}, held.Rows()[1])
+	current, err = current.Apply(Edit{ID: "three", Base: 2, Changes: setCell("b", ColumnVersion, "v9")}, testTime)
+	require.NoError(t, err, "an edit based on the removal adds the row again")
+	require.Equal(t, Row{Group: "b", Model: "m", Weight: 1, Ceiling: 1, Version: "v9"}, current.Rows()[1])
 }
 
 func TestApplyIsIdempotent(t *testing.T) {
 	edit := Edit{ID: "one", Base: 1, Changes: setCell("a", ColumnWeight, "5")}
-	held, err := exampleTable(t).Apply(edit, testTime)
+	current, err := exampleTable(t).Apply(edit, testTime)
 	require.NoError(t, err)
-	again, err := held.Apply(edit, testTime)
+	again, err := current.Apply(edit, testTime)
 	require.NoError(t, err)
-	require.Same(t, held, again)
+	require.Same(t, current, again)
 }
 
 func TestRejectedEditLeavesTableUnchanged(t *testing.T) {
-	held := exampleTable(t)
-	before := held.Rows()
+	current := exampleTable(t)
+	before := current.Rows()
 	for _, edit := range []Edit{
 		{ID: "one", Base: 1, Changes: setCell("a", ColumnFloor, "0.9")},
 		{ID: "two", Base: 1, Changes: setCell("a", "nonsense", "1")},
 		{ID: "three", Base: 1, Changes: setCell("a", ColumnWeight, "many")},
 		{ID: "four", Base: 1, Changes: []Change{{Key: Key{"z", "m"}, Remove: true}}},
 	} {
-		_, err := held.Apply(edit, testTime)
+		_, err := current.Apply(edit, testTime)
 		require.ErrorAs(t, err, new(Findings), "%s", edit.ID)
 	}
-	_, err := held.Apply(Edit{ID: "five", Base: 7}, testTime)
+	_, err := current.Apply(Edit{ID: "five", Base: 7}, testTime)
 	require.ErrorIs(t, err, ErrBaseAhead)
-	_, err = held.Apply(Edit{Base: 1}, testTime)
+	_, err = current.Apply(Edit{Base: 1}, testTime)
 	require.ErrorIs(t, err, ErrNoEditID)
-	require.Equal(t, before, held.Rows())
+	require.Equal(t, before, current.Rows())
 }
 
-// Each file holds a table and the findings about it, with their places.
+// Each file holds a table and the expected findings with their positions.
 func TestParseCSVReportsEveryFindingWithPosition(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	require.NoError(t, err)
@@ -120,11 +120,11 @@
 	}
 }
 
-// Whatever two operators edit at once, the cells of both are in the table or the
-// later one is told of a conflict; nothing is lost silently.
+// Concurrent edits by several operators must not be lost: either the cell has the text of the edit, or the edit is
+// rejected with a conflict.
 func TestNoEditIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		held := exampleTable(t)
+		current := exampleTable(t)
 		type cell struct {
 			group  Group
 			column Column
@@ -136,22 +136,22 @@
 			text := fmt.Sprint(rapid.IntRange(1, 9).Draw(t, "value"))
 			edit := Edit{
 				ID: EditID(fmt.Sprint(i)), Changes: setCell(group, column, text),
-				Base: Revision(rapid.Uint64Range(1, uint64(held.Revision)).Draw(t, "base")),
+				Base: Revision(rapid.Uint64Range(1, uint64(current.Revision)).Draw(t, "base")),
 			}
-			next, err := held.Apply(edit, testTime)
+			next, err := current.Apply(edit, testTime)
 			var conflict *ConflictError
 			if errors.As(err, &conflict) {
-				changed := held.Entries[held.entryIndex(Key{group, "m"})].CellRevisions[column]
-				require.Greater(t, changed, edit.Base, "a conflict without a later edit")
+				changed := current.Entries[current.entryIndex(Key{group, "m"})].CellRevisions[column]
+				require.Greater(t, changed, edit.Base, "conflict without a later edit")
 				continue
 			}
 			require.NoError(t, err)
-			held = next
+			current = next
 			want[cell{group, column}] = text
 		}
-		for at, text := range want {
-			row := held.Entries[held.entryIndex(Key{at.group, "m"})].Row
-			require.Equal(t, text, row.Cell(at.column))
+		for edited, text := range want {
+			row := current.Entries[current.entryIndex(Key{edited.group, "m"})].Row
+			require.Equal(t, text, row.Cell(edited.column))
 		}
 	})
 }
@@ -163,12 +163,12 @@
 			for i := range rows {
 				all = append(all, Row{Group: Group(fmt.Sprint("g", i%50)), Model: Model(fmt.Sprint("m", i/50)), Weight: 1, Ceiling: 1, Version: "v1"})
 			}
-			held, err := (&Table{}).Apply(Edit{ID: "first", Changes: Diff(nil, all)}, testTime)
+			current, err := (&Table{}).Apply(Edit{ID: "first", Changes: Diff(nil, all)}, testTime)
 			require.NoError(b, err)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				change := []Change{{Key: Key{"g7", "m1"}, Set: map[Column]string{ColumnWeight: fmt.Sprint(i + 1)}}}
-				_, err := held.Apply(Edit{ID: EditID(fmt.Sprint(i)), Base: 1, Changes: change}, testTime)
+				_, err := current.Apply(Edit{ID: EditID(fmt.Sprint(i)), Base: 1, Changes: change}, testTime)
 				require.NoError(b, err)
 			}
 		})
