--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,16 +1,17 @@
-// Package boottime gives a process the time, with the time for which its machine was suspended.
+// Package boottime provides a clock that includes the time during which the machine was suspended.
 //
-// The steady clock that package time compares by stands still while a machine is suspended. A process that takes its ages
-// from it takes everything for younger than it is from then on, for good: how long ago a version was named, a peer was
-// heard, a server asked for rest. The clock of this package goes on (CLOCK_BOOTTIME of Linux).
+// Package time measures durations with the monotonic clock, which stops while the machine is suspended. Every age that
+// includes a suspension would be too short by its length: the time since a version was published, since a peer's last
+// heartbeat, or since a server requested a backoff. The clock of this package keeps running (CLOCK_BOOTTIME on Linux).
 //
-// Timers stand still with the machine, and go off late by as long as it was suspended.
+// Timers stop during a suspension and fire late by its length.
 //
 // # Usage
 //
 //	clock := boottime.NewClock()
+//	received := clock.Now()
 //	...
-//	age := clock.Since(heard)
+//	age := clock.Since(received)
 package boottime
 
 import (
@@ -22,28 +23,30 @@
 )
 
 const (
-	// checkInterval is how often at most is asked whether the machine was suspended: the time is asked for many times for
-	// each request, and each question is a system call.
+	// checkInterval is the minimum time between two checks for a suspension. Now is called many times per request, and
+	// each check is a system call.
 	checkInterval = 50 * time.Millisecond
-	// minSuspension is the shortest time that counts: two clocks are not read at the same moment.
+	// minSuspension is the smallest increase of the suspended time that counts. Smaller differences arise because the
+	// two clocks are not read at the same instant.
 	minSuspension = 10 * time.Millisecond
 )
 
-// Clock is a clockwork.Clock that counts the time for which the machine was suspended. It is safe for concurrent use.
+// Clock is a clockwork.Clock whose times include suspensions of the machine. It is safe for concurrent use.
 type Clock struct {
 	clockwork.Clock
 
-	// now is the time of package time, boot the time since the machine started.
+	// now returns the time according to package time. boot returns the time since the machine started, suspensions
+	// included; it is nil if the machine has no such clock.
 	now  func() time.Time
 	boot func() (time.Duration, error)
-	// start is when the clock was made, and bootAtStart what boot said then.
+	// start is when the Clock was created, and bootAtStart the value of boot at that time.
 	start       time.Time
 	bootAtStart time.Duration
 
 	mu sync.Mutex
-	// lastCheck is when boot was last asked, by now.
+	// lastCheck is the time, according to now, of the last check for a suspension.
 	lastCheck time.Time
-	// suspended is for how long the machine was suspended since the clock was made.
+	// suspended is how long the machine was suspended since start, as of lastCheck.
 	suspended time.Duration
 }
 
@@ -53,42 +56,44 @@
 func newClock(now func() time.Time, boot func() (time.Duration, error)) *Clock {
 	c := &Clock{Clock: clockwork.NewRealClock(), now: now, boot: boot, start: now()}
 	c.lastCheck = c.start
-	began, err := boot()
+	sinceBoot, err := boot()
 	if err != nil {
-		// The machine has no such clock: the steady one is the best there is.
+		// Without a boot-time clock, fall back to the monotonic clock, which omits suspensions.
 		c.boot = nil
 	}
-	c.bootAtStart = began
+	c.bootAtStart = sinceBoot
 	return c
 }
 
-// bootTime is how long ago the machine started, with the time for which it was suspended.
+// bootTime returns the time since the machine started, suspensions included.
 func bootTime() (time.Duration, error) {
-	var at unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
+	var ts unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		return 0, err
 	}
-	return time.Duration(at.Nano()), nil
+	return time.Duration(ts.Nano()), nil
 }
 
-// Now returns the time. Times of this clock compare by how long they lie apart, however the time of day is set.
+// Now returns the current time. The difference between two times of this clock is the time that elapsed between them,
+// even if the wall clock was set in the meantime.
 func (c *Clock) Now() time.Time {
 	now := c.now()
 	suspended := c.suspendedFor(now)
 	if suspended == 0 {
 		return now
 	}
-	// The time of day has counted the suspension already, so it can't be added to it once more.
+	// The wall clock reading of now already includes the suspension, so now.Add(suspended) would count it twice.
 	return c.start.Add(now.Sub(c.start) + suspended)
 }
 
-// Since returns for how long a time of this clock is past.
+// Since returns the time elapsed since t, which must be a time of this clock.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// Until returns how long it is to a time of this clock.
+// Until returns the time left until t, which must be a time of this clock.
 func (c *Clock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
 
-// suspendedFor returns for how long the machine was suspended, as of the last check.
+// suspendedFor returns how long the machine was suspended since the Clock was created. It checks for a new suspension
+// if the last check is at least checkInterval old.
 func (c *Clock) suspendedFor(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +105,7 @@
 	if err != nil {
 		return c.suspended
 	}
-	// The steady clock is read again, as the process may have waited for its turn since now.
+	// Read the monotonic clock again, as the process may not have been scheduled since now was read.
 	if ahead := boot - c.bootAtStart - c.now().Sub(c.start); ahead >= c.suspended+minSuspension {
 		c.suspended = ahead
 	}
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -8,20 +8,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeMachine is one that may be suspended: the steady clock stands then.
+// fakeMachine simulates a machine that can be suspended. Its monotonic clock stops during a suspension.
 type fakeMachine struct {
 	monotonic time.Duration
 	suspended time.Duration
 	start     time.Time
 	bootCalls int
-	broken    bool
+	bootFails bool
 }
 
 func (m *fakeMachine) now() time.Time { return m.start.Add(m.monotonic) }
 
 func (m *fakeMachine) boot() (time.Duration, error) {
 	m.bootCalls++
-	if m.broken {
+	if m.bootFails {
 		return 0, errors.New("no such clock")
 	}
 	return time.Hour + m.monotonic + m.suspended, nil
@@ -32,18 +32,18 @@
 func TestClockIncludesSuspension(t *testing.T) {
 	m := newFakeMachine()
 	c := newClock(m.now, m.boot)
-	heard := c.Now()
+	t0 := c.Now()
 	m.monotonic += time.Second
-	require.Equal(t, time.Second, c.Since(heard))
+	require.Equal(t, time.Second, c.Since(t0))
 	m.suspended += 4 * time.Second
 	m.monotonic += checkInterval
-	require.Equal(t, 5*time.Second+checkInterval, c.Since(heard))
-	require.Equal(t, -5*time.Second-checkInterval, c.Until(heard))
+	require.Equal(t, 5*time.Second+checkInterval, c.Since(t0))
+	require.Equal(t, -5*time.Second-checkInterval, c.Until(t0))
 	m.suspended += 3 * time.Second
 	m.monotonic += checkInterval
-	require.Equal(t, 8*time.Second+2*checkInterval, c.Since(heard), "a second one counts too")
+	require.Equal(t, 8*time.Second+2*checkInterval, c.Since(t0), "a second suspension is added")
 	m.monotonic += time.Second
-	require.Equal(t, 9*time.Second+2*checkInterval, c.Since(heard), "no more than once")
+	require.Equal(t, 9*time.Second+2*checkInterval, c.Since(t0), "each suspension is added only once")
 }
 
 func TestWallClockIncludesSuspensionOnce(t *testing.T) {
@@ -60,7 +60,7 @@
 		m.monotonic += time.Millisecond
 		require.Equal(t, m.now(), c.Now())
 	}
-	require.LessOrEqual(t, m.bootCalls, 1+int(time.Second/checkInterval), "asking is a system call")
+	require.LessOrEqual(t, m.bootCalls, 1+int(time.Second/checkInterval), "each check is a system call")
 }
 
 func TestClockSkewBelowMinimumIsNotSuspension(t *testing.T) {
@@ -72,7 +72,7 @@
 
 func TestClockFallsBackToMonotonicClock(t *testing.T) {
 	m := newFakeMachine()
-	m.broken = true
+	m.bootFails = true
 	c := newClock(m.now, m.boot)
 	m.monotonic += time.Second
 	require.Equal(t, m.now(), c.Now())
