--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,4 +1,4 @@
-// Package buildinfo names the version of the programs.
+// Package buildinfo reports the version of the programs.
 //
 // # Usage
 //
@@ -7,8 +7,8 @@
 
 import "runtime/debug"
 
-// String returns the module version and, where the build recorded it, the
-// commit.
+// String returns the module version, followed by the commit if the build
+// recorded it, or "unknown" if the binary contains no build information.
 func String() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
