--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,16 +1,16 @@
-// Package kernel starts, names and stops the services of a process.
+// Package kernel registers, finds and stops the services of a process.
 //
-// A service is built by its constructor, which starts a goroutine for each duty.
-// Services find each other by name and type, so that no service imports another
-// one only to be handed it. The kernel stops them in the reverse order of their
-// registration.
+// The constructor of a service starts one goroutine for each of its tasks.
+// Services look each other up by name and type, so a package need not import
+// another one only to pass a service on. The registry stops the services in
+// reverse order of their registration.
 //
 // # Usage
 //
-//	k := kernel.New()
-//	err := k.Register("replica", replica)
-//	replica, err := kernel.Find[*Replica](k, "replica")
-//	err = k.Stop(ctx)
+//	registry := kernel.New()
+//	err := registry.Register(replica)
+//	replica, err := kernel.Find[*Replica](registry, "replica")
+//	err = registry.Stop(ctx)
 package kernel
 
 import (
@@ -22,14 +22,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrDuplicate reports a name that is taken.
-var ErrDuplicate = errors.New("service name is taken")
+// ErrDuplicate reports that a service of the same name is already registered.
+var ErrDuplicate = errors.New("service name is already registered")
 
-// ErrNotFound reports a name under which nothing of the wanted type is registered.
+// ErrNotFound reports that no service of the requested name and type is registered.
 var ErrNotFound = errors.New("no such service")
 
-// Service is anything that the kernel stops. Stop returns once nothing of the
-// service runs any more, or when the context ends.
+// Service is a component that a Registry stops. Stop returns when all goroutines
+// of the service have returned, or when the context is done.
 type Service interface {
 	String() string
 	Stop(ctx context.Context) error
@@ -42,82 +42,86 @@
 	order    []string
 }
 
-// New returns a kernel without services.
+// New returns an empty registry.
 func New() *Registry {
 	return &Registry{services: make(map[string]Service)}
 }
 
-// Register adds a service under its own name. Errors wrap ErrDuplicate.
-func (k *Registry) Register(service Service) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// Register adds a service under the name that its String method returns. The error
+// wraps ErrDuplicate if the name is already registered.
+func (r *Registry) Register(service Service) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	name := service.String()
-	if _, taken := k.services[name]; taken {
-		return eris.Wrapf(ErrDuplicate, "registering %s", name)
+	if _, taken := r.services[name]; taken {
+		return eris.Wrapf(ErrDuplicate, "registering service %s", name)
 	}
-	k.services[name] = service
-	k.order = append(k.order, name)
+	r.services[name] = service
+	r.order = append(r.order, name)
 	return nil
 }
 
-// Find returns the service of a name. Errors wrap ErrAbsent.
-func Find[T Service](k *Registry, name string) (T, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	service, ok := k.services[name].(T)
+// Find returns the service of the given name and type. The error wraps ErrNotFound
+// if there is none.
+func Find[T Service](r *Registry, name string) (T, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	service, ok := r.services[name].(T)
 	if !ok {
 		var zero T
-		return zero, fmt.Errorf("looking for %s: %w", name, ErrNotFound)
+		return zero, fmt.Errorf("finding service %s: %w", name, ErrNotFound)
 	}
 	return service, nil
 }
 
-// Stop stops all services, the last registered first, and joins their errors.
-func (k *Registry) Stop(ctx context.Context) error {
-	k.mu.Lock()
-	order := k.order
-	k.order = nil
-	k.mu.Unlock()
-	var problems []error
+// Stop stops all services in reverse order of their registration and joins their
+// errors.
+func (r *Registry) Stop(ctx context.Context) error {
+	r.mu.Lock()
+	order := r.order
+	r.order = nil
+	r.mu.Unlock()
+	var errs []error
 	for i := len(order) - 1; i >= 0; i-- {
-		if err := k.services[order[i]].Stop(ctx); err != nil {
-			problems = append(problems, fmt.Errorf("stopping %s: %w", order[i], err))
+		if err := r.services[order[i]].Stop(ctx); err != nil {
+			errs = append(errs, fmt.Errorf("stopping service %s: %w", order[i], err))
 		}
 	}
-	return errors.Join(problems...)
+	return errors.Join(errs...)
 }
 
-// TaskGroup runs the goroutines of one service and ends them together.
+// TaskGroup runs the goroutines of one service and stops them together.
 type TaskGroup struct {
 	ctx    context.Context
 	cancel context.CancelFunc
-	wait   sync.WaitGroup
+	wg     sync.WaitGroup
 }
 
-// NewTaskGroup returns an empty set of duties.
+// NewTaskGroup returns an empty group.
 func NewTaskGroup() *TaskGroup {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &TaskGroup{ctx: ctx, cancel: cancel}
 }
 
-// Go starts a duty, which must return when its context ends.
-func (d *TaskGroup) Go(duty func(ctx context.Context)) {
-	d.wait.Add(1)
+// Go runs a task in its own goroutine. The task must return when its context is done.
+func (g *TaskGroup) Go(task func(ctx context.Context)) {
+	g.wg.Add(1)
 	go func() {
-		defer d.wait.Done()
-		duty(d.ctx)
+		defer g.wg.Done()
+		task(g.ctx)
 	}()
 }
 
-// Context ends when the duties are stopped.
-func (d *TaskGroup) Context() context.Context { return d.ctx }
+// Context returns the context of the tasks, which Stop cancels.
+func (g *TaskGroup) Context() context.Context { return g.ctx }
 
-// Stop ends the duties and waits for them, at most until the context ends.
-func (d *TaskGroup) Stop(ctx context.Context) error {
-	d.cancel()
+// Stop cancels the context of the tasks and waits until all have returned. If ctx is
+// done first, Stop returns its error.
+func (g *TaskGroup) Stop(ctx context.Context) error {
+	g.cancel()
 	done := make(chan struct{})
 	go func() {
-		d.wait.Wait()
+		g.wg.Wait()
 		close(done)
 	}()
 	select {
