--- a/internal/ratewindow/ratewindow.go
+++ b/internal/ratewindow/ratewindow.go
@@ -1,5 +1,5 @@
-// Package ratewindow counts the requests to a rate-limited server in sliding time windows and defines how many are allowed. It is for
-// tests and models.
+// Package ratewindow counts the requests to a rate-limited server in sliding time windows and defines how many are
+// allowed in one window. Tests and simulations use it.
 //
 // # Usage
 //
@@ -10,7 +10,8 @@
 
 import "time"
 
-// In any Window, a server may receive burstFactor times the requests that its rate limit allows, plus extraRequests.
+// In any Window, a server may receive at most burstFactor times the requests that its rate limit allows, plus
+// extraRequests.
 const (
 	Window        = 4 * time.Second
 	burstFactor   = 1.5
@@ -22,8 +23,8 @@
 	return burstFactor*Window.Seconds()*perSecond + extraRequests
 }
 
-// Each calls fn for each event, in order, with the event's time and the number of events up to it that are less than a Window older.
-// The events must be sorted by time.
+// Each calls fn for each event, in order, with the event's time and the number of events in the Window that ends with
+// it. The event itself counts; an event that is exactly a Window older does not. The events must be sorted by time.
 func Each(events []time.Time, fn func(end time.Time, count int)) {
 	first := 0
 	for last, end := range events {
--- a/internal/ratewindow/ratewindow_test.go
+++ b/internal/ratewindow/ratewindow_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEachCountsTheEventsInEachWindow(t *testing.T) {
+func TestEachCountsEventsInWindow(t *testing.T) {
 	var events []time.Time
 	for _, ms := range []int{0, 800, 3200, 3999, 4000, 8000, 8000, 12001} {
 		events = append(events, time.Unix(0, 0).Add(time.Duration(ms)*time.Millisecond))
@@ -20,7 +20,7 @@
 	require.Equal(t, []int{1, 2, 3, 4, 4, 1, 2, 1}, counts)
 }
 
-func TestAllowedIsOneAndAHalfTimesTheLimitPlusFiveRequests(t *testing.T) {
+func TestAllowedIncludesBurstAndExtraRequests(t *testing.T) {
 	for limit, want := range map[float64]float64{0: 5, 1: 11, 1.9: 16.4, 10: 65} {
 		require.InDelta(t, want, Allowed(limit), 1e-9)
 	}
