--- a/internal/virtual/timeline.go
+++ b/internal/virtual/timeline.go
@@ -1,11 +1,11 @@
-// Package virtual runs events in virtual time, for models that have to give the same
-// result each time and faster than the clock.
+// Package virtual runs events in virtual time, for simulations that need reproducible
+// results and must run faster than real time.
 //
 // # Usage
 //
-//	var line virtual.Timeline
-//	line.After(time.Second, func() { fmt.Println(line.Elapsed()) })
-//	line.Run(time.Minute)
+//	var timeline virtual.Timeline
+//	timeline.AfterFunc(time.Second, func() { fmt.Println(timeline.Elapsed()) })
+//	timeline.Run(time.Minute)
 package virtual
 
 import (
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// event is something that happens at a moment of virtual time.
+// event is a function scheduled for a virtual time.
 type event struct {
 	at time.Duration
-	// sequence keeps events of one moment in the order in which they were planned.
+	// sequence keeps events for the same time in the order in which they were scheduled.
 	sequence uint64
 	run      func()
 }
@@ -31,10 +31,10 @@
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (e *events) Pop() any {
 	last := len(*e) - 1
 	popped := (*e)[last]
@@ -42,30 +42,31 @@
 	return popped
 }
 
-// Timeline runs events in the order of virtual time. Its zero value is at the beginning.
-// It is not safe for concurrent use.
+// Timeline runs events in order of their virtual times. The zero value is an empty timeline at
+// Epoch. It is not safe for concurrent use.
 type Timeline struct {
 	events   events
 	sequence uint64
 	elapsed  time.Duration
 }
 
-// Epoch is when virtual time begins; any moment serves.
+// Epoch is the start of virtual time. Its value is arbitrary.
 var Epoch = time.Unix(1_000_000, 0)
 
-// Now is the present moment of virtual time.
+// Now returns the current virtual time.
 func (l *Timeline) Now() time.Time { return Epoch.Add(l.elapsed) }
 
-// Elapsed is how much virtual time has passed.
+// Elapsed returns the virtual time since Epoch.
 func (l *Timeline) Elapsed() time.Duration { return l.elapsed }
 
-// AfterFunc plans something.
+// AfterFunc schedules run for the time after wait. A negative wait counts as 0.
 func (l *Timeline) AfterFunc(wait time.Duration, run func()) {
 	l.sequence++
 	heap.Push(&l.events, event{at: l.elapsed + max(0, wait), sequence: l.sequence, run: run})
 }
 
-// Step runs the next event, if there is one until a moment.
+// Step runs the next event if it is scheduled for until or earlier, and reports whether it ran
+// one. until is a duration since Epoch.
 func (l *Timeline) Step(until time.Duration) bool {
 	if len(l.events) == 0 || l.events[0].at > until {
 		return false
@@ -76,7 +77,8 @@
 	return true
 }
 
-// Run lets time pass until a moment.
+// Run runs all events scheduled for until or earlier, then advances the virtual time to until, a
+// duration since Epoch.
 func (l *Timeline) Run(until time.Duration) {
 	for l.Step(until) {
 	}
--- a/internal/virtual/timeline_test.go
+++ b/internal/virtual/timeline_test.go
@@ -8,19 +8,19 @@
 )
 
 func TestEventsRunInOrderOfTimeThenScheduling(t *testing.T) {
-	var line Timeline
+	var timeline Timeline
 	var ran []string
-	note := func(name string) func() { return func() { ran = append(ran, name) } }
-	line.AfterFunc(2*time.Second, note("late"))
-	line.AfterFunc(time.Second, func() {
-		note("first")()
-		line.AfterFunc(-time.Second, note("planned in the past"))
+	record := func(name string) func() { return func() { ran = append(ran, name) } }
+	timeline.AfterFunc(2*time.Second, record("late"))
+	timeline.AfterFunc(time.Second, func() {
+		record("first")()
+		timeline.AfterFunc(-time.Second, record("scheduled in the past"))
 	})
-	line.AfterFunc(time.Second, note("second"))
-	line.Run(1500 * time.Millisecond)
-	require.Equal(t, []string{"first", "second", "planned in the past"}, ran)
-	require.Equal(t, Epoch.Add(1500*time.Millisecond), line.Now())
-	require.False(t, line.Step(1900*time.Millisecond))
-	require.True(t, line.Step(2*time.Second))
-	require.Equal(t, 2*time.Second, line.Elapsed())
+	timeline.AfterFunc(time.Second, record("second"))
+	timeline.Run(1500 * time.Millisecond)
+	require.Equal(t, []string{"first", "second", "scheduled in the past"}, ran)
+	require.Equal(t, Epoch.Add(1500*time.Millisecond), timeline.Now())
+	require.False(t, timeline.Step(1900*time.Millisecond))
+	require.True(t, timeline.Step(2*time.Second))
+	require.Equal(t, 2*time.Second, timeline.Elapsed())
 }
