--- a/pkg/fleet/fact.go
+++ b/pkg/fleet/fact.go
@@ -7,15 +7,15 @@
 	"github.com/cinderslip/cinderslip/pkg/state"
 )
 
-// The keys under which facts are replicated.
+// Keys and key prefixes of replicated facts.
 const (
 	configurationKey = "configuration"
 	serverPrefix     = "server/"
 	desiredPrefix    = "wanted/"
 )
 
-// Fact is one thing that was written outside. Exactly one of Configuration,
-// Server and Wanted is set, or none if the fact is gone.
+// Fact is a decoded entry of the platform's store. Exactly one of Configuration,
+// Server and Desired is set, or none if the entry was deleted.
 type Fact struct {
 	Key           string
 	Revision      Revision
@@ -31,10 +31,10 @@
 // ServerKey returns the key of a server's entry.
 func ServerKey(id ServerID) string { return serverPrefix + string(id) }
 
-// DesiredKey returns the key of a model's wanted weights.
+// DesiredKey returns the key of a model's desired version.
 func DesiredKey(model ModelName) string { return desiredPrefix + string(model) }
 
-// Item returns the fact in the form in which it is replicated.
+// Item encodes the fact for replication.
 func (f *Fact) Item() (state.Item, error) {
 	item := state.Item{Key: f.Key, Version: state.Version{Major: uint64(f.Revision)}, Deleted: f.Deleted}
 	var value any
@@ -53,8 +53,8 @@
 	return item, err
 }
 
-// ServicesOnly returns an item in the form for processes that serve no callers; only
-// that of the configuration has another one.
+// ServicesOnly returns an item as it is sent to processes that serve no callers. The item
+// of the configuration is reduced by Configuration.ServicesOnly; all others are unchanged.
 func ServicesOnly(item state.Item) (state.Item, error) {
 	if item.Key != configurationKey || item.Deleted {
 		return item, nil
@@ -69,7 +69,7 @@
 	return reduced, err
 }
 
-// ParseFact reads a fact back from its item.
+// ParseFact decodes a replicated item into a fact.
 func ParseFact(item state.Item) (Fact, error) {
 	fact := Fact{Key: item.Key, Revision: Revision(item.Version.Major), Deleted: item.Deleted}
 	if item.Deleted {
@@ -87,10 +87,10 @@
 		fact.Desired = &DesiredVersion{}
 		value = fact.Desired
 	default:
-		return fact, fmt.Errorf("fact %q has no known kind", item.Key)
+		return fact, fmt.Errorf("parsing fact %q: unknown kind of key", item.Key)
 	}
 	if err := state.Decode(item.Value, value); err != nil {
-		return fact, fmt.Errorf("fact %q: %w", item.Key, err)
+		return fact, fmt.Errorf("parsing fact %q: %w", item.Key, err)
 	}
 	return fact, nil
 }
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -1,15 +1,15 @@
-// Package fleet holds the facts by which entry boxes serve callers directly:
-// the operators' routes, the backend servers that there are, and the weights
-// that each model should run.
+// Package fleet defines the state of a fleet in which entry boxes proxy requests
+// to backend servers: the operators' routes, the backend servers, and the version
+// of the weights that each model should run.
 //
-// Facts come from outside (a key-value service, or another entry box) and carry
-// the revision at which they were written. A View is the immutable form that
-// decisions read: it finds the route of a request, the organisation of a key and
-// the backend servers of a service.
+// A Fact is one entry of this state. It comes from the key-value service or from
+// another entry box, and carries the revision at which it was written. A View is
+// an immutable snapshot of the state. It finds the route of a request, the
+// organisation of an API key and the backend servers of a service.
 //
 // # Usage
 //
-//	view := fleet.NewView(facts)
+//	view := fleet.EmptyView().WithConfiguration(configuration, revision).WithServers(servers)
 //	route, ok := view.Route("maps.example", "/tiles/7/3")
 //	organisation, ok := view.Organisation(key)
 //	servers := view.Servers(route.Service)
@@ -22,26 +22,26 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// Revision orders the writes of the key-value service.
+// Revision is the revision of the key-value service at a write. Later writes have higher revisions.
 type Revision uint64
 
-// ServerID names a backend server. One that starts again has another id, or the same and
+// ServerID identifies a backend server. A restarted server has another ID, or the same ID and
 // another incarnation.
 type ServerID string
 
-// ModelName names a model.
+// ModelName is the name of a model.
 type ModelName string
 
-// WeightsVersion numbers the published weights of a model; it only goes up.
+// WeightsVersion is the version number of the published weights of a model. It only increases.
 type WeightsVersion uint64
 
-// OrganisationName names an organisation.
+// OrganisationName is the name of an organisation.
 type OrganisationName string
 
-// APIKey is what an organisation's callers show.
+// APIKey authenticates the callers of an organisation.
 type APIKey string
 
-// RouteKind says what may be done with the requests of a route.
+// RouteKind determines whether requests of a route may be repeated and whether their responses are streams.
 type RouteKind string
 
 // The kinds of routes.
@@ -50,138 +50,138 @@
 	KindRepeatable RouteKind = "repeatable"
 	// KindOnce requests run at most once.
 	KindOnce RouteKind = "once"
-	// KindStream requests are answered with a series of events.
+	// KindStream requests receive a stream of events as their response.
 	KindStream RouteKind = "stream"
 )
 
-// Backend is one service that a route sends requests to.
+// Backend is a service that receives requests of a route.
 type Backend struct {
 	Service member.Service `cbor:"1,keyasint"`
-	// Weight is relative to the weights of the route's other backends.
+	// Weight is the backend's share of requests, relative to the weights of the route's other backends.
 	Weight float64 `cbor:"2,keyasint"`
 }
 
-// Route sends the requests of one host and path prefix to a service.
+// Route assigns the requests of one host and path prefix to services.
 type Route struct {
 	Name       string        `cbor:"1,keyasint"`
 	Host       string        `cbor:"2,keyasint"`
 	PathPrefix string        `cbor:"3,keyasint"`
 	Kind       RouteKind     `cbor:"4,keyasint"`
 	Timeout    time.Duration `cbor:"5,keyasint"`
-	// Objective is the time to the answer, or to a stream's first event, that
-	// callers expect.
+	// Objective is the time within which callers expect the response, or the first
+	// event of a stream.
 	Objective time.Duration `cbor:"6,keyasint"`
-	// Priority is 0 for the most urgent.
+	// Priority is 0 for the most urgent requests and higher for less urgent ones.
 	Priority int       `cbor:"7,keyasint"`
 	Backends []Backend `cbor:"8,keyasint"`
-	// MaxAttempts bounds the backend servers that one request may be sent to.
+	// MaxAttempts is the maximum number of backend servers that one request may be sent to.
 	MaxAttempts int `cbor:"9,keyasint"`
-	// Public routes need no key.
+	// Public routes require no API key.
 	Public bool `cbor:"10,keyasint,omitempty"`
-	// Resumable streams may go on at another backend server.
+	// Resumable streams may continue on another backend server.
 	Resumable bool `cbor:"11,keyasint,omitempty"`
 	// MaxEventGap is the longest time between two events that callers accept.
 	MaxEventGap time.Duration `cbor:"12,keyasint,omitempty"`
-	// CallerTimeout is after how long without any event callers leave a stream; 0 if they
-	// stay to their deadline.
+	// CallerTimeout is how long callers wait without any event before they abandon a stream;
+	// 0 if they wait until their deadline.
 	CallerTimeout time.Duration `cbor:"13,keyasint,omitempty"`
 }
 
-// Repeatable reports whether a request may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindRepeatable || r.Kind == KindStream && r.Resumable
 }
 
 // Engine describes the model servers of a service.
 type Engine struct {
-	// Slots is how many requests a server runs at once.
+	// Slots is how many requests a server runs concurrently.
 	Slots  int         `cbor:"1,keyasint"`
 	Models []ModelName `cbor:"2,keyasint"`
 	// Warmup is how long a server takes to load all layers.
 	Warmup time.Duration `cbor:"3,keyasint"`
 	Layers int           `cbor:"4,keyasint"`
-	// Chunks and ChunkSize (bytes) are how the weights are cut for transport.
+	// Chunks and ChunkSize (in bytes) are the number and the size of the chunks in which weights are transferred.
 	Chunks    int   `cbor:"5,keyasint"`
 	ChunkSize int64 `cbor:"6,keyasint"`
-	// StepTime is the time of one token step, StepTimePerRequest what each running
-	// request adds to it.
+	// StepTime is the duration of one token step. Each running request adds
+	// StepTimePerRequest to it.
 	StepTime           time.Duration `cbor:"7,keyasint"`
 	StepTimePerRequest time.Duration `cbor:"8,keyasint"`
-	// StepsBetweenPrefills is how many token steps are played between two readings of prompts.
+	// StepsBetweenPrefills is how many token steps a server runs between two prefill chunks.
 	StepsBetweenPrefills int `cbor:"9,keyasint"`
-	// PrefillTokensPerSecond is the rate at which prompts are read, in tokens.
+	// PrefillTokensPerSecond is the prefill rate, in prompt tokens per second.
 	PrefillTokensPerSecond float64 `cbor:"10,keyasint"`
-	// TypicalPromptTokens and TypicalResponseTokens are mean sizes, in tokens.
+	// TypicalPromptTokens and TypicalResponseTokens are the mean lengths of prompts and responses, in tokens.
 	TypicalPromptTokens   float64 `cbor:"11,keyasint"`
 	TypicalResponseTokens float64 `cbor:"12,keyasint"`
-	// PrefillChunkTokens is how many tokens of prompts are read between two strides; 0 if
-	// that is not known.
+	// PrefillChunkTokens is how many prompt tokens a server processes in one prefill chunk;
+	// 0 if that is not known.
 	PrefillChunkTokens int `cbor:"13,keyasint,omitempty"`
 }
 
-// PrefillTime returns how long a server that also writes answers takes to read a
-// prompt: after each part of it a stride of token steps is played.
+// PrefillTime returns how long a server that also generates responses takes to process
+// a prompt of the given length. The server runs StepsBetweenPrefills token steps after
+// each prefill chunk. The result is 0 if the prefill rate is not known.
 func (e *Engine) PrefillTime(tokens int) time.Duration {
 	if e.PrefillTokensPerSecond <= 0 {
 		return 0
 	}
-	reading := time.Duration(float64(tokens) / e.PrefillTokensPerSecond * float64(time.Second))
+	prefill := time.Duration(float64(tokens) / e.PrefillTokensPerSecond * float64(time.Second))
 	if e.PrefillChunkTokens <= 0 {
-		return reading
+		return prefill
 	}
-	return reading + time.Duration(float64(tokens)/float64(e.PrefillChunkTokens)*float64(e.StepsBetweenPrefills)*float64(e.StepTime))
+	return prefill + time.Duration(float64(tokens)/float64(e.PrefillChunkTokens)*float64(e.StepsBetweenPrefills)*float64(e.StepTime))
 }
 
-// DecodeTime returns how long a server whose batch is half full takes to write an
-// answer.
+// DecodeTime returns how long a server with half of its slots in use takes to generate
+// a response of the given length.
 func (e *Engine) DecodeTime(tokens float64) time.Duration {
 	return time.Duration(tokens * (float64(e.StepTime) + float64(e.StepTimePerRequest)*float64(e.Slots)/2))
 }
 
-// Service is a group of backend servers that answer alike, or an origin of
-// weights.
+// Service is a group of interchangeable backend servers, or an origin of weights.
 type Service struct {
 	Name           member.Service `cbor:"1,keyasint"`
 	MaxConnections int            `cbor:"2,keyasint"`
 	// Engine is nil for a service that runs no model.
 	Engine *Engine `cbor:"3,keyasint,omitempty"`
-	// Origin is where weights are published; empty for all other services.
+	// Origin is the address at which weights are published; empty for all other services.
 	Origin member.Address `cbor:"4,keyasint,omitempty"`
-	// OriginMbps is the rate of the origin's link, in Mbit/s; 0 if that is not told.
+	// OriginMbps is the rate of the origin's link, in Mbit/s; 0 if that is not known.
 	OriginMbps float64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Organisation holds the keys of one organisation.
+// Organisation holds the API keys of one organisation.
 type Organisation struct {
 	Name OrganisationName `cbor:"1,keyasint"`
 	Keys []APIKey         `cbor:"2,keyasint"`
-	// Priority replaces that of the route if it is set.
+	// Priority replaces the priority of the route if it is not nil.
 	Priority *int `cbor:"3,keyasint,omitempty"`
 }
 
-// Limits bound what a caller may send.
+// Limits bounds the size and the duration of a caller's requests.
 type Limits struct {
-	// HeaderBytes and BodyBytes are sizes in bytes.
+	// HeaderBytes and BodyBytes are the maximum sizes of the headers and the body of a request.
 	HeaderBytes   int64         `cbor:"1,keyasint"`
 	BodyBytes     int64         `cbor:"2,keyasint"`
 	HeaderTimeout time.Duration `cbor:"3,keyasint"`
 	IdleTimeout   time.Duration `cbor:"4,keyasint"`
 }
 
-// Configuration is what the operators have written last, whole.
+// Configuration is the complete configuration that the operators wrote last.
 type Configuration struct {
-	// Version goes up with each change, in uneven steps.
+	// Version increases with each change, by 1 or more.
 	Version       uint64         `cbor:"1,keyasint"`
 	Routes        []Route        `cbor:"2,keyasint"`
 	Services      []Service      `cbor:"3,keyasint"`
 	Organisations []Organisation `cbor:"4,keyasint"`
 	Limits        Limits         `cbor:"5,keyasint"`
-	// Unreadable are the parts that could not be read, or not whole.
+	// Unreadable marks the parts that could not be read, or only incompletely.
 	Unreadable UnreadableParts `cbor:"6,keyasint"`
 }
 
-// UnreadableParts tells which parts of a configuration could not be read. What is missing there may
-// have been written all the same.
+// UnreadableParts marks the parts of a configuration that could not be read completely. What is
+// missing from such a part may still be in the stored configuration.
 type UnreadableParts struct {
 	Routes        bool `cbor:"1,keyasint,omitempty"`
 	Services      bool `cbor:"2,keyasint,omitempty"`
@@ -189,8 +189,9 @@
 	Limits        bool `cbor:"4,keyasint,omitempty"`
 }
 
-// WithFallback returns the configuration with the parts that could not be read as they stood before:
-// neither does it refuse everybody for one of them, nor does it open what was closed.
+// WithFallback returns the configuration with its unreadable parts taken from before, an earlier
+// configuration. An unreadable part therefore neither rejects every caller nor gives access
+// without a key where one was required.
 func (c *Configuration) WithFallback(before *Configuration) *Configuration {
 	if before == nil || c.Unreadable == (UnreadableParts{}) {
 		return c
@@ -202,7 +203,8 @@
 	if c.Unreadable.Services {
 		filled.Services = before.Services
 	}
-	// Without organisations no key is asked for; those that can't be read were written.
+	// A configuration without organisations requires no API key. The unreadable organisations exist,
+	// so an earlier empty list must not replace them.
 	if c.Unreadable.Organisations && len(before.Organisations) > 0 {
 		filled.Organisations = before.Organisations
 	}
@@ -215,25 +217,25 @@
 	return &filled
 }
 
-// ServicesOnly returns what a process needs that serves no callers: the services, and
-// one route for each way in which the routes of a service may go on elsewhere. It does
-// not grow with the operators' routes and organisations.
+// ServicesOnly returns the configuration for a process that serves no callers: the services,
+// and one route for each combination of service, route kind and resumability. Its size does
+// not depend on the number of routes and organisations.
 func (c *Configuration) ServicesOnly() *Configuration {
-	type way struct {
+	type routeClass struct {
 		service   member.Service
 		kind      RouteKind
 		resumable bool
 	}
 	reduced := &Configuration{Version: c.Version, Services: c.Services, Unreadable: c.Unreadable}
-	seen := make(map[way]bool)
+	added := make(map[routeClass]bool)
 	for i := range c.Routes {
 		route := &c.Routes[i]
 		for _, backend := range route.Backends {
-			w := way{backend.Service, route.Kind, route.Resumable}
-			if seen[w] {
+			class := routeClass{backend.Service, route.Kind, route.Resumable}
+			if added[class] {
 				continue
 			}
-			seen[w] = true
+			added[class] = true
 			reduced.Routes = append(reduced.Routes, Route{
 				Kind: route.Kind, Resumable: route.Resumable, Backends: []Backend{{Service: backend.Service, Weight: 1}},
 			})
@@ -242,54 +244,56 @@
 	return reduced
 }
 
-// LoadedLayers is a range of layers that a server holds, End exclusive.
+// LoadedLayers is a range of layers that a server has loaded. End is exclusive.
 type LoadedLayers struct {
 	Start   int            `cbor:"1,keyasint"`
 	End     int            `cbor:"2,keyasint"`
 	Version WeightsVersion `cbor:"3,keyasint"`
 }
 
-// LoadedModel is what a server holds of one model.
+// LoadedModel describes which layers of one model a server has loaded.
 type LoadedModel struct {
 	Name    ModelName      `cbor:"1,keyasint"`
 	Version WeightsVersion `cbor:"2,keyasint"`
 	Layers  []LoadedLayers `cbor:"3,keyasint"`
 }
 
-// CompleteVersion returns the version of which all n layers are held, if there is one.
+// CompleteVersion returns the version of which all n layers are loaded. It returns false if layers
+// are missing or belong to different versions. If n is 0, it returns m.Version, or false if
+// that is 0.
 func (m *LoadedModel) CompleteVersion(n int) (WeightsVersion, bool) {
 	if n == 0 {
 		return m.Version, m.Version > 0
 	}
 	next := 0
 	var version WeightsVersion
-	for _, held := range m.Layers {
-		if next > 0 && held.Version != version {
+	for _, layers := range m.Layers {
+		if next > 0 && layers.Version != version {
 			return 0, false
 		}
-		if held.Start > next {
+		if layers.Start > next {
 			return 0, false
 		}
-		version = held.Version
-		next = max(next, held.End)
+		version = layers.Version
+		next = max(next, layers.End)
 	}
 	return version, next >= n
 }
 
-// Server is a backend server as it stands in the list.
+// Server is the entry of a backend server in the list of servers.
 type Server struct {
 	ID      ServerID             `cbor:"1,keyasint"`
 	Service member.Service       `cbor:"2,keyasint"`
 	Address member.Address       `cbor:"3,keyasint"`
 	Domain  member.FailureDomain `cbor:"4,keyasint"`
 	Slots   int                  `cbor:"5,keyasint"`
-	// Leaving is set once the server has said, in its entry or in an answer, that it will end.
+	// Leaving is set once the server has announced, in its entry or in a response, that it will exit.
 	Leaving bool          `cbor:"6,keyasint,omitempty"`
 	Models  []LoadedModel `cbor:"7,keyasint,omitempty"`
-	// Incarnation is which start of the server says so: one that starts again may keep its
-	// id, and holds nothing of before. 0 where the platform does not tell.
+	// Incarnation is the incarnation of the server that the entry describes. A restarted server may
+	// keep its ID, but has lost all loaded weights. 0 if the platform reports no incarnation.
 	Incarnation member.Incarnation `cbor:"8,keyasint,omitempty"`
-	// Limit is the rate limit that the server advertises in its answers; it is not part of its entry.
+	// Limit is the rate limit that the server advertises in its responses; it is not part of its entry.
 	Limit RateLimit `cbor:"-"`
 }
 
@@ -306,25 +310,25 @@
 	return l.Set && (!other.Set || l.PerSecond < other.PerSecond)
 }
 
-// Departure is a server's word, in an answer, that it will end.
+// Departure is a server's announcement, in a response, that it will exit.
 type Departure struct {
 	Server ServerID
-	// Incarnation is the start of the server that said so; 0 where the platform does not tell.
+	// Incarnation is the incarnation that announced its exit; 0 if the platform reports no incarnation.
 	Incarnation member.Incarnation
 }
 
-// DesiredVersion names the weights that all servers of a model should run.
+// DesiredVersion is the version of the weights that all servers of a model should run.
 type DesiredVersion struct {
 	Model   ModelName      `cbor:"1,keyasint"`
 	Version WeightsVersion `cbor:"2,keyasint"`
 }
 
-// Report is what a model server says of itself.
+// Report is the state that a model server reports about itself.
 type Report struct {
-	// Incarnation is which start of the server reports; 0 where the platform does not tell.
+	// Incarnation is the incarnation of the server; 0 if the platform reports no incarnation.
 	Incarnation member.Incarnation
 	Models      []LoadedModel
-	// Busy is set while an order is being carried out.
+	// Busy is set while the server executes an order.
 	Busy    bool
 	Orders  uint64
 	Running int
@@ -332,17 +336,19 @@
 	// MemoryUsed and MemoryTotal are in tokens times layers.
 	MemoryUsed  uint64
 	MemoryTotal uint64
-	// Slowdown is above 1 when the server is slow; 0 if it does not say.
+	// Slowdown is above 1 when the server is slow; 0 if the server does not report it.
 	Slowdown float64
 }
 
-// startUncertainty is the minimum time between a start of a server and an answer for the answer to be attributed to that start. It
-// covers the difference between the clocks of two boxes and clock jumps, which reach about two seconds.
+// startUncertainty is the minimum time between the start of an incarnation and the receipt of a response that may be
+// attributed to it. It covers the difference between the clocks of two boxes and clock jumps, which reach about two
+// seconds.
 const startUncertainty = 2 * time.Second
 
-// WasRunning reports whether a start of a server began at least startUncertainty before an answer of the server was heard. Answers
-// do not carry an incarnation, and while the store is unavailable entries do not report new starts, so an answer may be from a later
-// start than the one known at the time. It returns false if heard is zero.
-func WasRunning(start member.Incarnation, heard time.Time) bool {
-	return !heard.IsZero() && start <= member.Incarnation(max(0, heard.Add(-startUncertainty).UnixMilli()))
+// WasRunning reports whether an incarnation of a server started at least startUncertainty before a response of the
+// server was received. Responses carry no incarnation, and entries do not show new incarnations while the store is
+// unavailable. A response may therefore come from a later incarnation than the one known at the time. WasRunning returns
+// false if received is the zero time.
+func WasRunning(start member.Incarnation, received time.Time) bool {
+	return !received.IsZero() && start <= member.Incarnation(max(0, received.Add(-startUncertainty).UnixMilli()))
 }
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -9,7 +9,8 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// A configuration of 1,400 routes went whole to every agent at every change.
+// Every agent used to receive a complete configuration of 1,400 routes on each change. ServicesOnly must reduce it to a
+// size that does not depend on the number of routes.
 func TestServicesOnlySizeIsIndependentOfRouteCount(t *testing.T) {
 	configuration := &Configuration{Version: 9, Services: []Service{{Name: "llm", Engine: &Engine{Layers: 4}}, {Name: "maps"}}}
 	route := func(service member.Service, kind RouteKind, resumable bool) {
@@ -21,12 +22,12 @@
 		route("llm", KindStream, true)
 		route("maps", KindOnce, false)
 	}
-	whole, err := (&Fact{Key: ConfigurationKey(), Revision: 7, Configuration: configuration}).Item()
+	full, err := (&Fact{Key: ConfigurationKey(), Revision: 7, Configuration: configuration}).Item()
 	require.NoError(t, err)
-	reduced, err := ServicesOnly(whole)
+	reduced, err := ServicesOnly(full)
 	require.NoError(t, err)
-	require.Equal(t, whole.Version, reduced.Version)
-	require.Less(t, len(reduced.Value), len(whole.Value)/100)
+	require.Equal(t, full.Version, reduced.Version)
+	require.Less(t, len(reduced.Value), len(full.Value)/100)
 	fact, err := ParseFact(reduced)
 	require.NoError(t, err)
 	view := EmptyView().WithConfiguration(fact.Configuration, fact.Revision)
@@ -35,10 +36,11 @@
 	require.NotNil(t, view.Service("llm").Engine)
 
 	route("llm", KindOnce, false)
-	require.False(t, EmptyView().WithConfiguration(configuration.ServicesOnly(), 8).Resumable("llm"), "one route that can't go on counts")
+	require.False(t, EmptyView().WithConfiguration(configuration.ServicesOnly(), 8).Resumable("llm"), "a service with one route that is not resumable is not resumable")
 }
 
-// A caller without a key has the empty one, and passed as the organisation that held it.
+// A caller without an API key presents the empty key. It used to be identified as an organisation whose list of keys
+// contains an empty one.
 func TestEmptyKeyMatchesNoOrganisation(t *testing.T) {
 	view := EmptyView().WithConfiguration(&Configuration{Organisations: []Organisation{{Name: "kumiai", Keys: []APIKey{"", "k"}}}}, 3)
 	_, known := view.Organisation("")
@@ -48,18 +50,18 @@
 	require.EqualValues(t, "kumiai", organisation.Name)
 }
 
-// An agent that is told services which could not be read keeps those that it knows.
+// An agent that receives a configuration with unreadable services must keep the services that it knows.
 func TestServicesOnlyKeepsUnreadableParts(t *testing.T) {
 	before := &Configuration{Version: 4, Services: []Service{{Name: "llm", MaxConnections: 9}}}
-	unread := &Configuration{Version: 5, Unreadable: UnreadableParts{Services: true}}
-	whole, err := (&Fact{Key: ConfigurationKey(), Revision: 7, Configuration: unread}).Item()
+	unreadable := &Configuration{Version: 5, Unreadable: UnreadableParts{Services: true}}
+	full, err := (&Fact{Key: ConfigurationKey(), Revision: 7, Configuration: unreadable}).Item()
 	require.NoError(t, err)
-	reduced, err := ServicesOnly(whole)
+	reduced, err := ServicesOnly(full)
 	require.NoError(t, err)
-	told, err := ParseFact(reduced)
+	received, err := ParseFact(reduced)
 	require.NoError(t, err)
-	filled := told.Configuration.WithFallback(before)
+	filled := received.Configuration.WithFallback(before)
 	require.EqualValues(t, 5, filled.Version)
 	require.Equal(t, before.Services, filled.Services)
-	require.Empty(t, told.Configuration.Services, "what was told is left as it is")
+	require.Empty(t, received.Configuration.Services, "WithFallback must not modify the received configuration")
 }
--- a/pkg/fleet/view.go
+++ b/pkg/fleet/view.go
@@ -9,12 +9,12 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// View is what is believed at one moment. It is not changed once made, so it may
-// be read without locks.
+// View is a snapshot of the known state of the fleet. It is immutable, so it can be
+// read without locks.
 type View struct {
-	// Configuration is nil until one is known.
+	// Configuration is nil until a configuration is known.
 	Configuration *Configuration
-	// ConfigurationRevision is the revision at which it was written.
+	// ConfigurationRevision is the revision at which Configuration was written.
 	ConfigurationRevision Revision
 
 	routes        map[string][]*Route
@@ -25,104 +25,107 @@
 	origin        *Service
 }
 
-// PublishedVersion is a wanted version with the time at which this process first
-// heard of it.
+// PublishedVersion is a published version of a model, with the time of its publication
+// as known to this process.
 type PublishedVersion struct {
 	Version     WeightsVersion
 	Revision    Revision
 	PublishedAt time.Time
-	// Observed is set if Since is when some process heard of the version as it was
-	// named. Otherwise it was there when this process started, and Since is a guess.
+	// Observed is set if some process received the version when it was published and
+	// PublishedAt is that time. Otherwise the version was already published when this
+	// process started, and PublishedAt is an estimate.
 	Observed bool
 }
 
-// VersionAge is how long ago a version was named, as a process that heard of it
-// then tells.
+// VersionAge is the time since a version was published, as reported by a process that
+// observed the publication.
 type VersionAge struct {
 	Model   ModelName
 	Version WeightsVersion
 	Age     time.Duration
 }
 
-// PublishedVersions are the versions of a model that were named, oldest first. Before any
-// was named it holds the first version, without a time.
+// PublishedVersions are the published versions of a model, oldest first. Before the first
+// publication, the list holds only FirstVersion, without a time.
 type PublishedVersions []PublishedVersion
 
-// Newest returns the version that all servers should come to.
-func (n PublishedVersions) Newest() PublishedVersion { return n[len(n)-1] }
+// Newest returns the version that all servers should run.
+func (p PublishedVersions) Newest() PublishedVersion { return p[len(p)-1] }
 
-// OldestAllowed returns the oldest version that may still start requests when each
-// version bars those before it a bound after it was named; 0 if any may.
-func (n PublishedVersions) OldestAllowed(bound time.Duration, now time.Time) WeightsVersion {
-	for i := len(n) - 1; i >= 0; i-- {
-		if !n[i].PublishedAt.IsZero() && now.Sub(n[i].PublishedAt) >= bound {
-			return n[i].Version
+// OldestAllowed returns the oldest version that may still start requests; 0 if all may. Each
+// version is the cutoff for all older ones once bound has passed since its publication.
+func (p PublishedVersions) OldestAllowed(bound time.Duration, now time.Time) WeightsVersion {
+	for i := len(p) - 1; i >= 0; i-- {
+		if !p[i].PublishedAt.IsZero() && now.Sub(p[i].PublishedAt) >= bound {
+			return p[i].Version
 		}
 	}
 	return 0
 }
 
-// CutoffTime returns when a version may no longer start requests, a bound after a
-// newer one was named; ok is false while none was.
-func (n PublishedVersions) CutoffTime(version WeightsVersion, bound time.Duration) (at time.Time, ok bool) {
-	for _, named := range n {
-		if named.Version > version && !named.PublishedAt.IsZero() {
-			return named.PublishedAt.Add(bound), true
+// CutoffTime returns when a version may no longer start requests: bound after the publication
+// of the next version. ok is false if no newer version with a known time was published.
+func (p PublishedVersions) CutoffTime(version WeightsVersion, bound time.Duration) (at time.Time, ok bool) {
+	for _, published := range p {
+		if published.Version > version && !published.PublishedAt.IsZero() {
+			return published.PublishedAt.Add(bound), true
 		}
 	}
 	return time.Time{}, false
 }
 
-// With returns the versions with another one added at its place: a process that started between
-// two names learns of the older one after the newer.
-func (n PublishedVersions) With(added PublishedVersion) PublishedVersions {
-	at := len(n)
-	for at > 0 && n[at-1].Version > added.Version {
-		at--
+// With returns the versions with another one inserted in order, and keeps the newest
+// maxPublishedVersions. A process that started between two publications may receive the older
+// version after the newer one.
+func (p PublishedVersions) With(added PublishedVersion) PublishedVersions {
+	i := len(p)
+	for i > 0 && p[i-1].Version > added.Version {
+		i--
 	}
-	next := slices.Insert(slices.Clone(n), at, added)
+	next := slices.Insert(slices.Clone(p), i, added)
 	return next[max(0, len(next)-maxPublishedVersions):]
 }
 
-// Lacks reports whether a version is not among those that were named and would be kept with them.
-func (n PublishedVersions) Lacks(version WeightsVersion) bool {
-	if len(n) == maxPublishedVersions && version < n[0].Version {
+// Lacks reports whether a version is not in the list and would be kept if it were added.
+func (p PublishedVersions) Lacks(version WeightsVersion) bool {
+	if len(p) == maxPublishedVersions && version < p[0].Version {
 		return false
 	}
-	return !slices.ContainsFunc(n, func(named PublishedVersion) bool { return named.Version == version })
+	return !slices.ContainsFunc(p, func(published PublishedVersion) bool { return published.Version == version })
 }
 
-// PublishedAt returns when a version was named; the zero time if that is not known.
-func (n PublishedVersions) PublishedAt(version WeightsVersion) time.Time {
-	for _, named := range n {
-		if named.Version == version {
-			return named.PublishedAt
+// PublishedAt returns the time of publication of a version; the zero time if that is not known.
+func (p PublishedVersions) PublishedAt(version WeightsVersion) time.Time {
+	for _, published := range p {
+		if published.Version == version {
+			return published.PublishedAt
 		}
 	}
 	return time.Time{}
 }
 
-// Corrected returns the versions with the time of one corrected by a witness: a
-// guess is replaced, and of two witnesses the one who heard sooner, by more than a
-// tolerance, is right. ok is false if nothing changes.
-func (n PublishedVersions) Corrected(version WeightsVersion, since time.Time, tolerance time.Duration) (corrected PublishedVersions, ok bool) {
-	at := slices.IndexFunc(n, func(named PublishedVersion) bool { return named.Version == version && !named.PublishedAt.IsZero() })
-	if at < 0 || n[at].Observed && since.After(n[at].PublishedAt.Add(-tolerance)) {
-		return n, false
+// Corrected returns the versions with the publication time of one of them replaced by observedAt,
+// the time at which another process observed the publication. It replaces an estimate, or an
+// observed time that is later by at least tolerance. ok is false if nothing changes.
+func (p PublishedVersions) Corrected(version WeightsVersion, observedAt time.Time, tolerance time.Duration) (corrected PublishedVersions, ok bool) {
+	i := slices.IndexFunc(p, func(published PublishedVersion) bool {
+		return published.Version == version && !published.PublishedAt.IsZero()
+	})
+	if i < 0 || p[i].Observed && observedAt.After(p[i].PublishedAt.Add(-tolerance)) {
+		return p, false
 	}
-	corrected = slices.Clone(n)
-	corrected[at].PublishedAt, corrected[at].Observed = since, true
+	corrected = slices.Clone(p)
+	corrected[i].PublishedAt, corrected[i].Observed = observedAt, true
 	return corrected, true
 }
 
-// maxPublishedVersions is how many of the versions that were named last are remembered.
+// maxPublishedVersions is how many of the newest published versions of a model are kept.
 const maxPublishedVersions = 8
 
-// EmptyView returns a view that knows nothing.
+// EmptyView returns a view without any data.
 func EmptyView() *View { return &View{} }
 
-// WithConfiguration returns a view with another configuration and all else as it
-// was.
+// WithConfiguration returns a copy of the view with another configuration.
 func (v *View) WithConfiguration(configuration *Configuration, revision Revision) *View {
 	next := *v
 	next.Configuration, next.ConfigurationRevision = configuration, revision
@@ -141,7 +144,7 @@
 	for i := range configuration.Organisations {
 		organisation := &configuration.Organisations[i]
 		for _, key := range organisation.Keys {
-			// A request without a key has the empty one.
+			// The key of a request without an API key is empty, and must match no organisation.
 			if key != "" {
 				next.organisations[key] = organisation
 			}
@@ -157,7 +160,7 @@
 	return &next
 }
 
-// WithServers returns a view with another list of servers.
+// WithServers returns a copy of the view with another list of servers.
 func (v *View) WithServers(servers []Server) *View {
 	next := *v
 	next.servers = make(map[member.Service][]Server)
@@ -170,14 +173,14 @@
 	return &next
 }
 
-// WithPublishedVersions returns a view with other wanted weights.
-func (v *View) WithPublishedVersions(wanted map[ModelName]PublishedVersions) *View {
+// WithPublishedVersions returns a copy of the view with other published versions of the models.
+func (v *View) WithPublishedVersions(versions map[ModelName]PublishedVersions) *View {
 	next := *v
-	next.published = wanted
+	next.published = versions
 	return &next
 }
 
-// Route returns the route of a host whose prefix begins the path and is longest.
+// Route returns the route of a host with the longest prefix that matches the path.
 func (v *View) Route(host, path string) (*Route, bool) {
 	for _, route := range v.routes[strings.ToLower(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -187,7 +190,7 @@
 	return nil, false
 }
 
-// Organisation returns who holds a key; nobody holds the empty one.
+// Organisation returns the organisation of an API key. The empty key belongs to none.
 func (v *View) Organisation(key APIKey) (*Organisation, bool) {
 	organisation, ok := v.organisations[key]
 	return organisation, ok
@@ -196,10 +199,10 @@
 // Service returns the description of a service; nil if it is not known.
 func (v *View) Service(name member.Service) *Service { return v.services[name] }
 
-// Servers returns the servers of a service in the order of their ids.
+// Servers returns the servers of a service in order of their IDs.
 func (v *View) Servers(name member.Service) []Server { return v.servers[name] }
 
-// Services returns the services that have backend servers or routes.
+// Services returns the services of the configuration.
 func (v *View) Services() []*Service {
 	if v.Configuration == nil {
 		return nil
@@ -211,8 +214,8 @@
 	return services
 }
 
-// Resumable reports whether every route of a service has streams that may go on at
-// another server.
+// Resumable reports whether a service has routes and all of them are routes of resumable
+// streams.
 func (v *View) Resumable(name member.Service) bool {
 	if v.Configuration == nil {
 		return false
@@ -234,13 +237,14 @@
 // Origin returns the service that publishes weights; nil if there is none.
 func (v *View) Origin() *Service { return v.origin }
 
-// PublishedVersions returns the versions that were named for a model.
+// PublishedVersions returns the published versions of a model. The result holds FirstVersion if
+// none was published.
 func (v *View) PublishedVersions(model ModelName) PublishedVersions {
-	if wanted, ok := v.published[model]; ok {
-		return wanted
+	if versions, ok := v.published[model]; ok {
+		return versions
 	}
 	return PublishedVersions{{Version: FirstVersion}}
 }
 
-// FirstVersion is the version that a model has before another one is named.
+// FirstVersion is the version of a model before the first publication.
 const FirstVersion WeightsVersion = 1
