--- a/pkg/member/cell_test.go
+++ b/pkg/member/cell_test.go
@@ -51,8 +51,8 @@
 	})
 }
 
-// A server that comes makes few others change their cells; dealt out in turn, half of them
-// would.
+// Adding a server moves less than 10% of the others to another cell. A round-robin assignment would
+// move half of them.
 func TestAddedKeyMovesFewOtherKeys(t *testing.T) {
 	const cells = 8
 	moved, steps := 0, 0
@@ -68,7 +68,7 @@
 	require.Less(t, float64(moved)/float64(steps), 0.1)
 }
 
-// BenchmarkAssignCells divides the servers of one region.
+// BenchmarkAssignCells assigns the servers of one region to cells.
 func BenchmarkAssignCells(b *testing.B) {
 	for _, size := range []struct{ keys, cells int }{{40, 8}, {2000, 256}} {
 		b.Run(fmt.Sprintf("keys=%d/cells=%d", size.keys, size.cells), func(b *testing.B) {
--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -1,23 +1,24 @@
-// Package member says which boxes there are, which of them are leaving and
-// which have fallen silent.
+// Package member tracks the boxes of a fleet: which boxes exist, which are
+// leaving and which are silent.
 //
-// Each box writes its own record. Its version is the pair of the box's
-// incarnation, drawn at each start, and a sequence number that goes up with
-// each change; merging two records is taking the newer. A monitor, an entry box
-// that receives the heartbeats of a few boxes, may mark a box silent with the
-// version directly above the one it knows. The box, when it hears of that from
-// any monitor that it still reaches, writes a newer record and so refutes the
-// mark: one bad link does not remove a box.
+// Each box writes its own record. The version of a record consists of the box's
+// incarnation, which is chosen at each start, and a sequence number that
+// increases with each change. Of two records, the newer one replaces the other.
 //
-// Monitors are chosen by rendezvous hashing, so that every box works out the
-// same ones from the same list with no coordinator.
+// A monitor is an entry box that receives the heartbeats of a few boxes. It may
+// mark a box as silent by writing the version directly above the one it knows.
+// When the box receives this mark from any monitor that it can reach, it refutes
+// the mark with a newer record. A single bad link therefore does not remove a box.
+//
+// Monitors are chosen by rendezvous hashing, so every box computes the same ones
+// from the same list, without a coordinator.
 //
 // # Usage
 //
 //	monitors := member.Rank("box-7", entries, 2)
 //	monitor := member.NewMonitor(3 * time.Second)
-//	monitor.Heard("box-7", clock.Now())
-//	for _, box := range monitor.Silent(clock.Now()) { ... }
+//	monitor.RecordHeartbeat("box-7", clock.Now())
+//	for _, box := range monitor.RemoveSilent(clock.Now()) { ... }
 package member
 
 import (
@@ -31,25 +32,25 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// BoxID names a box; the platform's box list uses the same names.
+// BoxID is the name of a box, as in the platform's box list.
 type BoxID string
 
-// Region names a region.
+// Region is the name of a region.
 type Region string
 
-// FailureDomain names a failure domain within a region.
+// FailureDomain is the name of a failure domain within a region.
 type FailureDomain string
 
-// Service names what callers ask for: a model or a plain service.
+// Service is the name of a model or a plain service that callers send requests to.
 type Service string
 
 // Address is an IP address with a port.
 type Address string
 
-// Incarnation differs between any two starts of the process on a box and goes up.
+// Incarnation identifies one run of the process on a box. It increases with each start.
 type Incarnation uint64
 
-// Role is what the process on a box does.
+// Role is the function of the process on a box.
 type Role string
 
 // The roles of a box.
@@ -58,12 +59,12 @@
 	RoleAgent Role = "agent"
 )
 
-// Status is whether a box takes work.
+// Status states whether a box accepts work.
 type Status string
 
 // The statuses of a box.
 const (
-	// StatusStarting is a box that is there but can't answer callers yet.
+	// StatusStarting is the status of a box that runs but cannot serve callers yet.
 	StatusStarting Status = "starting"
 
 	StatusUp      Status = "up"
@@ -71,7 +72,7 @@
 	StatusSilent  Status = "silent"
 )
 
-// Phase is how far a copy of a version has come on a box.
+// Phase is the progress of a copy of a version on a box.
 type Phase string
 
 // The phases of a copy, in order.
@@ -88,28 +89,28 @@
 	Version  table.ModelVersion `json:"version" cbor:"2,keyasint,omitempty"`
 	Manifest weights.Digest     `json:"manifest" cbor:"3,keyasint,omitempty"`
 	Phase    Phase              `json:"phase" cbor:"4,keyasint,omitempty"`
-	// HeldChunks is how many chunks were held when the record was written.
+	// HeldChunks is how many chunks the box held when it wrote the record.
 	HeldChunks  int `json:"chunks,omitempty" cbor:"5,keyasint,omitempty"`
 	TotalChunks int `json:"total,omitempty" cbor:"6,keyasint,omitempty"`
-	// WaitReason says why the copy does not advance, if it does not.
+	// WaitReason states why the copy does not progress; empty if it does.
 	WaitReason string `json:"waits,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
-// Record is what a box says of itself.
+// Record is the state that a box reports of itself.
 type Record struct {
 	Box           BoxID         `json:"box" cbor:"1,keyasint,omitempty"`
 	Role          Role          `json:"role" cbor:"2,keyasint,omitempty"`
 	Region        Region        `json:"region" cbor:"3,keyasint,omitempty"`
 	FailureDomain FailureDomain `json:"failure_domain" cbor:"4,keyasint,omitempty"`
-	// Peers is where the box's own processes are reached.
+	// Peers is the address at which the process on the box accepts connections from its peers.
 	Peers Address `json:"peers" cbor:"5,keyasint,omitempty"`
-	// Callers is where callers reach an entry box.
+	// Callers is the address at which an entry box accepts requests of callers.
 	Callers     Address     `json:"callers,omitempty" cbor:"6,keyasint,omitempty"`
 	Incarnation Incarnation `json:"incarnation" cbor:"7,keyasint,omitempty"`
 	Sequence    uint64      `json:"sequence" cbor:"8,keyasint,omitempty"`
 	Status      Status      `json:"status" cbor:"9,keyasint,omitempty"`
-	// Models are those that the box's engine can load; Slots is how many
-	// versions fit at once.
+	// Models are the models that the box's engine can load, and Slots is how
+	// many versions it can hold at the same time.
 	Models []table.Model `json:"models,omitempty" cbor:"10,keyasint,omitempty"`
 	Slots  int           `json:"slots,omitempty" cbor:"11,keyasint,omitempty"`
 	Copies []Copy        `json:"copies,omitempty" cbor:"12,keyasint,omitempty"`
@@ -117,11 +118,12 @@
 	Services []Service `json:"services,omitempty" cbor:"13,keyasint,omitempty"`
 }
 
-// KeyPrefix starts the key of each record in a state.Store.
+// KeyPrefix is the prefix of the key of each record in a state.Store.
 const KeyPrefix = "member/"
 
-// Version returns the version under which the record is replicated. Records of
-// the box itself are even, a monitor's silent mark is the odd number above.
+// Version returns the version under which the record is replicated. The minor
+// number is even in a box's own record, and the next odd number in a monitor's
+// silent mark.
 func (r Record) Version() state.Version {
 	minor := r.Sequence * 2
 	if r.Status == StatusSilent {
@@ -130,25 +132,25 @@
 	return state.Version{Major: uint64(r.Incarnation), Minor: minor}
 }
 
-// Item returns the record as a replicated item.
+// Item encodes the record as a replicated item.
 func (r Record) Item() (state.Item, error) {
 	value, err := state.Encode(r)
 	if err != nil {
-		return state.Item{}, fmt.Errorf("record of box %s: %w", r.Box, err)
+		return state.Item{}, fmt.Errorf("encoding member record of box %s: %w", r.Box, err)
 	}
 	return state.Item{Key: KeyPrefix + string(r.Box), Version: r.Version(), Value: value}, nil
 }
 
-// ParseRecord reads a record back from an item's value.
+// ParseRecord decodes a record from the value of an item.
 func ParseRecord(value []byte) (Record, error) {
 	var record Record
 	if err := state.Decode(value, &record); err != nil {
-		return Record{}, fmt.Errorf("member record: %w", err)
+		return Record{}, fmt.Errorf("parsing member record: %w", err)
 	}
 	return record, nil
 }
 
-// IsLive reports whether the box has the version loaded and may be given work.
+// IsLive reports whether the box is up and has loaded the version.
 func (r Record) IsLive(model table.Model, version table.ModelVersion) bool {
 	if r.Status != StatusUp {
 		return false
@@ -159,7 +161,7 @@
 }
 
 // Rank returns the first n candidates in rendezvous order for a key. Every
-// process with the same candidates gets the same answer.
+// process with the same candidates gets the same result.
 func Rank[C ~string](key string, candidates []C, n int) []C {
 	type scored struct {
 		candidate C
@@ -189,7 +191,7 @@
 	return out
 }
 
-// Score is the rendezvous weight of a candidate for a key.
+// Score returns the rendezvous weight of a candidate for a key.
 func Score(key, candidate string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/pkg/member/member_test.go
+++ b/pkg/member/member_test.go
@@ -23,13 +23,13 @@
 	require.True(t, put(own))
 	silent := own
 	silent.Status = StatusSilent
-	require.True(t, put(silent), "a monitor's mark is newer than the record it is about")
-	require.False(t, put(own), "the old record does not take it back")
+	require.True(t, put(silent), "a silent mark is newer than the record that it marks")
+	require.False(t, put(own), "the old record does not replace the mark")
 	own.Sequence++
-	require.True(t, put(own), "the box's next record does")
+	require.True(t, put(own), "the next record of the box replaces the mark")
 	restarted := Record{Box: "b", Incarnation: 6, Sequence: 1, Status: StatusUp}
 	require.True(t, put(restarted))
-	require.False(t, put(own), "a message of the earlier incarnation is refused")
+	require.False(t, put(own), "a record of an earlier incarnation is rejected")
 }
 
 func TestMonitorReportsSilentBoxOnce(t *testing.T) {
@@ -42,10 +42,10 @@
 	require.Empty(t, m.RemoveSilent(now.Add(4*time.Second)))
 	require.True(t, m.HasRecentHeartbeat("b", now.Add(4*time.Second)))
 	m.ResetAll(now.Add(time.Hour))
-	require.Empty(t, m.RemoveSilent(now.Add(time.Hour)), "a monitor that stood still itself marks nobody")
+	require.Empty(t, m.RemoveSilent(now.Add(time.Hour)), "no box is silent directly after ResetAll")
 }
 
-// A candidate that goes away moves only the keys that it had.
+// Removing a candidate must move only the keys that were assigned to it: the others keep their order.
 func TestRankKeepsOrderWhenCandidateIsRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var candidates []string
@@ -54,25 +54,25 @@
 		}
 		key := rapid.String().Draw(t, "key")
 		before := Rank(key, candidates, len(candidates))
-		gone := rapid.IntRange(0, len(candidates)-1).Draw(t, "gone")
-		var rest []string
+		removed := rapid.IntRange(0, len(candidates)-1).Draw(t, "gone")
+		var remaining []string
 		for i, candidate := range candidates {
-			if i != gone {
-				rest = append(rest, candidate)
+			if i != removed {
+				remaining = append(remaining, candidate)
 			}
 		}
 		var want []string
 		for _, candidate := range before {
-			if candidate != candidates[gone] {
+			if candidate != candidates[removed] {
 				want = append(want, candidate)
 			}
 		}
-		require.Equal(t, want, Rank(key, rest, len(rest)))
+		require.Equal(t, want, Rank(key, remaining, len(remaining)))
 	})
 }
 
-// Every member is reached from the roots in few steps, nobody has many children,
-// and one that goes away moves few others.
+// Every member is at most five levels below the roots, no member has many children,
+// and removing a member moves few others.
 func TestTreeReachesEveryMemberWithBoundedFanout(t *testing.T) {
 	for _, count := range []int{1, 2, 3, 7, 50, 366, 2200} {
 		var boxes []BoxID
--- a/pkg/member/monitor.go
+++ b/pkg/member/monitor.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Monitor remembers when each box was last heard. It is safe for concurrent use.
+// Monitor detects silent boxes by their missing heartbeats. It is safe for concurrent use.
 type Monitor struct {
 	timeout time.Duration
 
@@ -14,19 +14,20 @@
 	lastHeartbeat map[BoxID]time.Time
 }
 
-// NewMonitor returns a monitor that calls a box silent after timeout.
+// NewMonitor returns a monitor that considers a box silent if its last heartbeat is older than timeout.
 func NewMonitor(timeout time.Duration) *Monitor {
 	return &Monitor{timeout: timeout, lastHeartbeat: make(map[BoxID]time.Time)}
 }
 
-// RecordHeartbeat notes a heartbeat.
+// RecordHeartbeat records a heartbeat that was received from a box at now.
 func (m *Monitor) RecordHeartbeat(box BoxID, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lastHeartbeat[box] = now
 }
 
-// ResetAll counts every box as heard now, for when the monitor itself stood still.
+// ResetAll sets the last heartbeat of every known box to now. It is meant for a monitor whose own process was paused
+// and may have missed heartbeats.
 func (m *Monitor) ResetAll(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -35,7 +36,7 @@
 	}
 }
 
-// HasRecentHeartbeat reports whether the box's heartbeats have not stopped here.
+// HasRecentHeartbeat reports whether the box's last heartbeat is no older than the timeout.
 func (m *Monitor) HasRecentHeartbeat(box BoxID, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -43,7 +44,8 @@
 	return ok && now.Sub(last) <= m.timeout
 }
 
-// RemoveSilent returns the boxes whose heartbeats have stopped, and forgets them.
+// RemoveSilent removes the boxes whose last heartbeat is older than the timeout and returns them in order of their
+// IDs.
 func (m *Monitor) RemoveSilent(now time.Time) []BoxID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/member/neighbours.go
+++ b/pkg/member/neighbours.go
@@ -1,30 +1,30 @@
 package member
 
-// NeighboursPerBox is how many boxes an agent exchanges chunks with.
+// NeighboursPerBox is the number of boxes that an agent exchanges chunks with.
 const NeighboursPerBox = 8
 
-// How many rings there are of each kind; each gives a box two neighbours.
+// Number of rings of each kind. Each ring gives a box two neighbours.
 const (
 	domainRings = 2
 	regionRings = 1
 	remoteRings = 1
 )
 
-// Neighbours chooses the boxes that a box exchanges chunks with: half of its own
-// failure domain, a quarter of its region, the rest of anywhere.
+// Neighbours returns the boxes that a box exchanges chunks with: half are from its
+// own failure domain, a quarter from its region and the rest from any region.
 //
-// The boxes stand on several rings, each in a hash order of its own, and a box's
-// neighbours are those beside it. So each box has as many that choose it as it
-// chooses, nobody is crowded and nobody is left out, and a box that comes or goes
-// changes the neighbours of two others on each ring.
+// The boxes form several rings, each in its own hash order. The neighbours of a box
+// are the boxes directly before and after it on each ring. Each box is therefore
+// chosen by as many boxes as it chooses, so no box is overloaded or isolated. A box
+// that is added or removed changes the neighbours of two others on each ring.
 func Neighbours(self Record, candidates []Record) []Record {
 	domain := func(r Record) bool { return r.FailureDomain == self.FailureDomain && r.Region == self.Region }
 	region := func(r Record) bool { return r.Region == self.Region }
 	anywhere := func(Record) bool { return true }
 	var chosen []Record
-	add := func(name string, rings int, belongs func(Record) bool) {
+	add := func(name string, rings int, eligible func(Record) bool) {
 		for ring := range rings {
-			for _, record := range ringNeighbours(name+string(rune('0'+ring)), self, candidates, belongs) {
+			for _, record := range ringNeighbours(name+string(rune('0'+ring)), self, candidates, eligible) {
 				if !containsBox(chosen, record.Box) {
 					chosen = append(chosen, record)
 				}
@@ -34,7 +34,7 @@
 	add("domain", domainRings, domain)
 	add("region", regionRings, region)
 	add("far", remoteRings, anywhere)
-	// Small groups share their neighbours, so further rings fill up.
+	// In small groups, several rings give the same neighbours. Further rings fill up the list.
 	for ring := 0; len(chosen) < NeighboursPerBox && ring < NeighboursPerBox; ring++ {
 		add("more"+string(rune('0'+ring)), 1, anywhere)
 	}
@@ -51,20 +51,20 @@
 }
 
 // ringNeighbours returns the boxes before and after a box on one ring.
-func ringNeighbours(ring string, self Record, candidates []Record, belongs func(Record) bool) []Record {
-	own := Score(ring, string(self.Box))
+func ringNeighbours(ring string, self Record, candidates []Record, eligible func(Record) bool) []Record {
+	ownScore := Score(ring, string(self.Box))
 	var before, after, first, last *Record
 	var beforeScore, afterScore, firstScore, lastScore uint64
 	for i := range candidates {
 		candidate := &candidates[i]
-		if candidate.Box == self.Box || !belongs(*candidate) {
+		if candidate.Box == self.Box || !eligible(*candidate) {
 			continue
 		}
 		score := Score(ring, string(candidate.Box))
-		if score < own && (before == nil || score > beforeScore) {
+		if score < ownScore && (before == nil || score > beforeScore) {
 			before, beforeScore = candidate, score
 		}
-		if score >= own && (after == nil || score < afterScore) {
+		if score >= ownScore && (after == nil || score < afterScore) {
 			after, afterScore = candidate, score
 		}
 		if first == nil || score < firstScore {
--- a/pkg/member/tree.go
+++ b/pkg/member/tree.go
@@ -1,23 +1,24 @@
 package member
 
-// Fanout is how many children an inner member of a tree has on average.
+// Fanout is the average number of children of an inner member of a tree.
 const Fanout = 4
 
-// MaxRoots is how many members of a tree stand at its top.
+// MaxRoots is the maximum number of roots of a tree.
 const MaxRoots = 2
 
-// Tree arranges the members of one region so that news reaches all of them while
-// each sends to few. Members are ordered by rendezvous; the first are the roots,
-// the next Roots times Fanout the first level, and so on. Each member below the
-// roots has a parent on the level above it, chosen by rendezvous too. Every
-// process with the same members gets the same tree, and a member that comes or
-// goes moves few others.
+// Tree arranges the members of one region so that an update reaches all of them
+// while each member sends it to few others. Members are in rendezvous order: the
+// first MaxRoots are the roots, the next MaxRoots times Fanout form the level below,
+// and each further level has Fanout times as many members as the one above. The
+// parent of a member is chosen from the level above it, also by rendezvous hashing.
+// Every process with the same members gets the same tree, and adding or removing a
+// member moves few others.
 type Tree struct {
 	ordered  []BoxID
 	position map[BoxID]int
 }
 
-// NewTree arranges members under a name, such as that of the region.
+// NewTree returns the tree of members. The name, e.g. of the region, determines their order.
 func NewTree(name string, members []BoxID) *Tree {
 	t := &Tree{ordered: Rank("tree/"+name, members, len(members)), position: make(map[BoxID]int, len(members))}
 	for i, box := range t.ordered {
@@ -26,31 +27,31 @@
 	return t
 }
 
-// Roots returns the members at the top, at most Roots of them.
+// Roots returns the roots of the tree, at most MaxRoots.
 func (t *Tree) Roots() []BoxID { return t.ordered[:min(MaxRoots, len(t.ordered))] }
 
-// IsRoot reports whether a member stands at the top.
+// IsRoot reports whether a box is a root.
 func (t *Tree) IsRoot(box BoxID) bool {
-	place, ok := t.position[box]
-	return ok && place < MaxRoots
+	pos, ok := t.position[box]
+	return ok && pos < MaxRoots
 }
 
-// Parent returns the member that a member reads from; ok is false for roots and
-// for boxes that are no members.
+// Parent returns the member that a box reads from. ok is false for roots and for
+// boxes that are not members.
 func (t *Tree) Parent(box BoxID) (parent BoxID, ok bool) {
-	place, known := t.position[box]
-	if !known || place < MaxRoots {
+	pos, known := t.position[box]
+	if !known || pos < MaxRoots {
 		return "", false
 	}
 	start, size := 0, MaxRoots
-	for place >= start+size+size*Fanout {
+	for pos >= start+size+size*Fanout {
 		start, size = start+size, size*Fanout
 	}
-	above := t.ordered[start:min(start+size, len(t.ordered))]
-	return Rank(string(box), above, 1)[0], true
+	level := t.ordered[start:min(start+size, len(t.ordered))]
+	return Rank(string(box), level, 1)[0], true
 }
 
-// Depth returns how many steps a member is below the roots.
+// Depth returns how many levels a member is below the roots.
 func (t *Tree) Depth(box BoxID) int {
 	depth := 0
 	for {
