--- a/pkg/state/codec.go
+++ b/pkg/state/codec.go
@@ -6,32 +6,32 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// encoding writes times with all their digits, so that a value that was read
-// back equals the one that was written.
+// encoding keeps the full precision of times, so that a decoded value equals the
+// encoded one.
 var encoding = newEncoding()
 
 func newEncoding() cbor.EncMode {
 	mode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano, Sort: cbor.SortCoreDeterministic}.EncMode()
 	if err != nil {
-		panic(err) // the options are constant
+		panic(err) // unreachable: the options are constant
 	}
 	return mode
 }
 
-// Encode returns the compact form in which values are replicated: CBOR
-// (RFC 8949), in which fields with a keyasint tag take one byte for their name.
+// Encode encodes a value for replication, in CBOR (RFC 8949). The key of a field with
+// a keyasint tag takes one byte.
 func Encode(value any) ([]byte, error) {
 	raw, err := encoding.Marshal(value)
 	if err != nil {
-		return nil, fmt.Errorf("encoding a replicated value: %w", err)
+		return nil, fmt.Errorf("encoding replicated value: %w", err)
 	}
 	return raw, nil
 }
 
-// Decode reads a value that Encode wrote.
+// Decode decodes a value that Encode encoded.
 func Decode(raw []byte, value any) error {
 	if err := cbor.Unmarshal(raw, value); err != nil {
-		return fmt.Errorf("decoding a replicated value: %w", err)
+		return fmt.Errorf("decoding replicated value: %w", err)
 	}
 	return nil
 }
--- a/pkg/state/repair.go
+++ b/pkg/state/repair.go
@@ -6,12 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is into how many buckets keys are divided for the comparison of
-// stores.
+// Buckets is the number of buckets into which keys are divided to compare stores.
 const Buckets = 256
 
-// Digests is a digest of the keys and versions in each bucket. It does not
-// depend on the order in which items came.
+// Digests holds one digest per bucket, of the keys and versions in it. The digests do
+// not depend on the order in which items were applied.
 type Digests [Buckets]uint64
 
 func bucketOf(key string) int { return int(xxhash.Sum64String(key) % Buckets) }
@@ -27,17 +26,16 @@
 	return digest.Sum64()
 }
 
-// Digests returns the digests of what is held.
+// Digests returns the digests of the items in the store.
 func (s *Store) Digests() Digests {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.digests
 }
 
-// Differing returns the items in the buckets in which another store holds
-// something else. Whole buckets are taken until there are at least limit items;
-// more is set if some were left out. It visits every key, unless no bucket
-// differs.
+// Differing returns the items in the buckets that differ from those of another store.
+// It adds complete buckets until there are at least limit items, and sets more if it
+// omitted a bucket. It visits every key, unless no bucket differs.
 func (s *Store) Differing(other Digests, limit int) (items []Item, more bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -48,7 +46,7 @@
 	for key := range s.nodes {
 		counts[bucketOf(key)]++
 	}
-	var taken [Buckets]bool
+	var selected [Buckets]bool
 	total := 0
 	for bucket, count := range counts {
 		switch {
@@ -56,13 +54,13 @@
 		case total >= limit:
 			more = true
 		default:
-			taken[bucket] = true
+			selected[bucket] = true
 			total += count
 		}
 	}
 	items = make([]Item, 0, total)
 	for key, n := range s.nodes {
-		if taken[bucketOf(key)] {
+		if selected[bucketOf(key)] {
 			items = append(items, n.item)
 		}
 	}
--- a/pkg/state/repair_test.go
+++ b/pkg/state/repair_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever two stores hold, comparing digests and exchanging what differs makes
-// the one hold everything of the other, and ends.
+// For any contents of two stores, repeated comparison of digests and transfer of the
+// differing buckets must terminate, and the one store must then hold all items of the
+// other.
 func TestRepairTerminatesWithEqualStores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := NewStore(1), NewStore(2)
--- a/pkg/state/state.go
+++ b/pkg/state/state.go
@@ -1,28 +1,28 @@
-// Package state keeps replicated items whose versions only ever go up.
+// Package state stores replicated items whose versions only increase.
 //
-// An item is a key, a version and an opaque value. Whoever may write a key
-// gives its versions a total order, so that merging is taking the newest: it
-// does not matter by which path, how often or in which order an item arrives.
-// An item that was deleted stays as a tombstone, because a peer that was away
-// could otherwise bring the old value back.
+// An item consists of a key, a version and an opaque value. The writers of a key
+// ensure a total order of its versions, and a store keeps the newest one. Neither
+// the path of an item, nor the order of items, nor duplicates affect the result. A
+// deleted item remains as a tombstone, because a peer that was disconnected could
+// otherwise bring the old value back.
 //
-// Every store numbers its own changes. A reader keeps a cursor into that
-// numbering and asks for what changed after it; each key stands once in the
-// numbering, at its latest change, so the answer never holds a key twice and
-// nothing has to be trimmed. The number of a store is of use only together with
-// its instance, which is drawn anew at each start.
+// Every store numbers its own changes. A reader keeps a cursor, which is a position
+// in this sequence, and requests the changes after it. Each key appears only at its
+// latest change, so a batch never contains a key twice and the sequence needs no
+// trimming. Sequence numbers are valid only together with the instance of the store,
+// which is chosen at each start.
 //
-// Two stores that should hold the same compare digests, one for each bucket of
-// keys, and exchange only the buckets that differ; so a reader that has changed
-// its source need not read everything again.
+// Two stores that should have the same items compare digests, one for each bucket of
+// keys, and exchange only the buckets that differ. A reader that switches to another
+// source therefore need not read everything again.
 //
 // # Usage
 //
 //	store := state.NewStore(instance)
 //	store.Apply([]state.Item{{Key: "row/a", Version: state.Version{Major: 7}, Value: v}}, state.OriginLocal)
-//	batch := store.Since(state.Cursor{}, 0)        // everything
+//	batch := store.Since(state.Cursor{}, 0)       // all items
 //	changed := store.Changed()                    // closed at the next change
-//	batch = store.Since(batch.Next, 0)            // only what is newer
+//	batch = store.Since(batch.Next, 0)            // only later changes
 package state
 
 import (
@@ -45,7 +45,7 @@
 	return cmp.Compare(v.Minor, other.Minor)
 }
 
-// Item is one version of one key. Value must not be changed once applied.
+// Item is one version of one key. Value must not be modified after Store.Apply.
 type Item struct {
 	Key     string
 	Version Version
@@ -53,14 +53,15 @@
 	Value   []byte
 }
 
-// Cursor is a place in the numbering of one instance of a store. The zero
-// Cursor stands before everything.
+// Cursor is a position in the changes of one instance of a store. The zero Cursor
+// is before the first change.
 type Cursor struct {
 	Instance uint64
 	Sequence uint64
 }
 
-// Batch is what changed after a cursor, oldest change first.
+// Batch holds the changes after a cursor, oldest first. Next is the cursor for the
+// following batch.
 type Batch struct {
 	Items []Item
 	Next  Cursor
@@ -85,8 +86,8 @@
 	digests  [Buckets]uint64
 }
 
-// NewStore returns an empty store. The instance must differ between any two
-// starts, or a reader's cursor from the earlier one could skip changes.
+// NewStore returns an empty store. Each start must use another instance, or a
+// reader's cursor from an earlier start could skip changes.
 func NewStore(instance uint64) *Store {
 	return &Store{
 		instance: instance,
@@ -95,20 +96,20 @@
 	}
 }
 
-// Origin is by which way items came to a store.
+// Origin states how a store received items.
 type Origin bool
 
 // The origins of items.
 const (
-	// OriginLocal marks items that this process wrote, or that came up to it
-	// from below in an overlay.
+	// OriginLocal marks items that this process wrote, or received from a
+	// process below it in the overlay.
 	OriginLocal Origin = true
-	// OriginRemote marks items that came from a store which hands them to all
-	// others too.
+	// OriginRemote marks items from a store that distributes them to all other
+	// stores as well.
 	OriginRemote Origin = false
 )
 
-// Apply merges items and returns those that were newer than what was held.
+// Apply merges items into the store and returns those that were newer than the stored versions.
 func (s *Store) Apply(items []Item, origin Origin) []Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,23 +127,23 @@
 }
 
 func (s *Store) put(item Item, origin Origin) bool {
-	held, ok := s.nodes[item.Key]
-	if ok && item.Version.Compare(held.item.Version) <= 0 {
+	n, ok := s.nodes[item.Key]
+	if ok && item.Version.Compare(n.item.Version) <= 0 {
 		return false
 	}
 	if ok {
-		s.unlink(held)
-		s.digests[bucketOf(item.Key)] ^= digestOf(held.item)
+		s.unlink(n)
+		s.digests[bucketOf(item.Key)] ^= digestOf(n.item)
 	} else {
-		held = &node{}
-		s.nodes[item.Key] = held
+		n = &node{}
+		s.nodes[item.Key] = n
 	}
 	s.sequence++
-	held.item = item
-	held.sequence = s.sequence
-	held.local = bool(origin)
+	n.item = item
+	n.sequence = s.sequence
+	n.local = bool(origin)
 	s.digests[bucketOf(item.Key)] ^= digestOf(item)
-	s.append(held)
+	s.append(n)
 	return true
 }
 
@@ -166,15 +167,15 @@
 	s.tail = n
 }
 
-// Since returns what changed after the cursor, oldest first and at most limit
-// items; a limit of 0 means all. A cursor of another instance counts as the zero
-// cursor. The cost is proportional to what changed.
+// Since returns the changes after the cursor, oldest first and at most limit items;
+// a limit of 0 means all. A cursor of another instance counts as the zero Cursor. The
+// cost is proportional to the number of changes after the cursor.
 func (s *Store) Since(cursor Cursor, limit int) Batch { return s.since(cursor, limit, false) }
 
-// SinceLocal is Since for items of OriginLocal only.
+// SinceLocal is like Since, but returns only items with OriginLocal.
 func (s *Store) SinceLocal(cursor Cursor, limit int) Batch { return s.since(cursor, limit, true) }
 
-// Tail returns the cursor after everything.
+// Tail returns the cursor after the latest change.
 func (s *Store) Tail() Cursor {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -206,7 +207,8 @@
 	return batch
 }
 
-// firstAfter walks back from the newest change.
+// firstAfter returns the first node with a sequence number greater than after, and the number of
+// such nodes. It searches backwards from the latest change.
 func (s *Store) firstAfter(after uint64) (first *node, count int) {
 	for n := s.tail; n != nil && n.sequence > after; n = n.prev {
 		first = n
@@ -215,35 +217,35 @@
 	return first, count
 }
 
-// Changed returns a channel that is closed at the next change. Take it before
-// reading, so that no change falls between the two.
+// Changed returns a channel that is closed at the next change. Call it before
+// reading the store, so that no change in between is missed.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.changed
 }
 
-// Purge drops a key, tombstone and all. It is for keys whose writer is gone for good: a peer
-// that still holds the item brings it back.
+// Purge removes a key, including its tombstone. Use it only for keys whose writer no longer exists:
+// a peer that still has the item can bring it back.
 func (s *Store) Purge(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, ok := s.nodes[key]
+	n, ok := s.nodes[key]
 	if !ok {
 		return
 	}
-	s.unlink(held)
-	s.digests[bucketOf(key)] ^= digestOf(held.item)
+	s.unlink(n)
+	s.digests[bucketOf(key)] ^= digestOf(n.item)
 	delete(s.nodes, key)
 }
 
-// Get returns the item of a key; ok is false if there is none or it is deleted.
+// Get returns the item of a key. ok is false if there is none or it is deleted.
 func (s *Store) Get(key string) (item Item, ok bool) {
 	item, ok = s.Lookup(key)
 	return item, ok && !item.Deleted
 }
 
-// Lookup returns the item of a key, a tombstone included.
+// Lookup returns the item of a key, even if it is a tombstone.
 func (s *Store) Lookup(key string) (item Item, ok bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -254,8 +256,8 @@
 	return n.item, true
 }
 
-// Prefix returns the items whose key starts with prefix, deleted ones left out,
-// in no order. It visits every key.
+// Prefix returns the items whose key starts with prefix, except deleted ones, in no
+// particular order. It visits every key.
 func (s *Store) Prefix(prefix string) []Item {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -268,7 +270,7 @@
 	return items
 }
 
-// Len returns the number of keys, tombstones included.
+// Len returns the number of keys, including tombstones.
 func (s *Store) Len() int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/pkg/state/state_test.go
+++ b/pkg/state/state_test.go
@@ -13,10 +13,10 @@
 	newer := Item{Key: "a", Version: Version{Major: 2}, Value: []byte("new")}
 	require.Len(t, s.Apply([]Item{newer}, OriginLocal), 1)
 	require.Empty(t, s.Apply([]Item{{Key: "a", Version: Version{Major: 1, Minor: 9}, Value: []byte("old")}}, OriginLocal))
-	require.Empty(t, s.Apply([]Item{newer}, OriginLocal), "the same version again is no change")
-	held, ok := s.Get("a")
+	require.Empty(t, s.Apply([]Item{newer}, OriginLocal), "applying the same version again changes nothing")
+	item, ok := s.Get("a")
 	require.True(t, ok)
-	require.Equal(t, "new", string(held.Value))
+	require.Equal(t, "new", string(item.Value))
 }
 
 func TestTombstonePreventsOldValueFromReturning(t *testing.T) {
@@ -26,7 +26,7 @@
 	s.Apply([]Item{{Key: "a", Version: Version{Major: 1}, Value: []byte("v")}}, OriginLocal)
 	_, ok := s.Get("a")
 	require.False(t, ok)
-	require.Len(t, s.Since(Cursor{}, 0).Items, 1, "the tombstone itself travels on")
+	require.Len(t, s.Since(Cursor{}, 0).Items, 1, "readers receive the tombstone")
 }
 
 func TestCursorOfAnotherInstanceReadsEverything(t *testing.T) {
@@ -36,9 +36,9 @@
 	require.Empty(t, s.Since(Cursor{Instance: 2, Sequence: 1}, 0).Items)
 }
 
-// Stores that pull from each other at random, with restarts that lose
-// everything, converge to the newest version of each key and never go back.
-func TestStoresConvergeAndNeverGoBack(t *testing.T) {
+// Stores that pull from each other at random, with restarts that lose all items,
+// must converge to the newest version of each key and never return to an older one.
+func TestStoresConvergeAndNeverRegress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const count = 4
 		stores := make([]*Store, count)
@@ -65,11 +65,11 @@
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			at := rapid.IntRange(0, count-1).Draw(t, "at")
+			target := rapid.IntRange(0, count-1).Draw(t, "at")
 			switch rapid.IntRange(0, 9).Draw(t, "action") {
 			case 0:
-				if at != 0 { // store 0 stays, so that nothing is lost for good
-					restart(at)
+				if target != 0 { // store 0 never restarts, so that no item is lost in all stores
+					restart(target)
 				}
 			case 1, 2, 3:
 				key := fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "key"))
@@ -77,9 +77,9 @@
 				newest[key] = version
 				item := Item{Key: key, Version: version, Deleted: rapid.Bool().Draw(t, "deleted")}
 				stores[0].Apply([]Item{item}, OriginLocal)
-				stores[at].Apply([]Item{item}, OriginLocal)
+				stores[target].Apply([]Item{item}, OriginLocal)
 			default:
-				pull(at, rapid.IntRange(0, count-1).Draw(t, "from"), rapid.IntRange(0, 3).Draw(t, "limit"))
+				pull(target, rapid.IntRange(0, count-1).Draw(t, "from"), rapid.IntRange(0, 3).Draw(t, "limit"))
 			}
 		}
 		for i := 1; i < count; i++ {
@@ -106,8 +106,8 @@
 	return out
 }
 
-// newFilledStore returns a store of the size of the users' letter: 12,000 servers and
-// 2,200 nodes with a record and an assignment each, and 2,000 rows.
+// newFilledStore returns a store with the given number of keys. A fleet of 12,000 servers and
+// 2,200 nodes, with a record and an assignment each, and 2,000 rows has about 30,000 keys.
 func newFilledStore(keys int) *Store {
 	s := NewStore(1)
 	value := make([]byte, 250)
