--- a/pkg/route/allocation.go
+++ b/pkg/route/allocation.go
@@ -11,50 +11,50 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// Several entry boxes that hear of the same free place would all take it: what one of
-// them takes the others know only after a while. So while places are scarce each free
-// place belongs to one box for such a while, a round; which one is drawn by weighted
-// rendezvous hashing over what the boxes are asked for, so that all work it out alike
-// without a word. Where they believe different things two may take one place, or none
-// does for a round.
+// The report that a box has taken a slot reaches the other entry boxes only after a delay, so without
+// coordination all boxes would take the same free slot. While slots are scarce, each free slot is
+// therefore allocated to one box for a round, which is as long as that delay. The box is chosen by
+// weighted rendezvous hashing over the demands of all boxes, so that each box computes the same
+// result without further messages. If the boxes' views differ, two boxes may take the same slot, or
+// none takes it for one round.
 
 const (
-	// allocationRound is how long it takes until the other entry boxes know that a place was
-	// taken: the interval at which they tell each other, and the way.
+	// allocationRound is the delay until the other entry boxes know that a slot was taken: the
+	// interval of the load reports plus their transfer time.
 	allocationRound = 60 * time.Millisecond
-	// scarcityFactor is how many times the requests of a round must find room for places not
-	// to be scarce: below, boxes that choose at random meet at one in ten servers.
+	// scarcityFactor is the number of free slots per competing request below which slots are
+	// scarce. Below it, boxes that choose at random collide on one in ten servers.
 	scarcityFactor = 2
-	// idleWeight is the weight of a box that is asked for nothing, against one for each
-	// request: something may have come since it was heard of.
+	// idleWeight is the weight of a box without demand, where each request weighs 1: requests may
+	// have arrived there since its last report.
 	idleWeight = 0.02
 )
 
-// requestClass is whether a request can still meet its objective.
+// requestClass is the class of a request by whether it can still meet its objective.
 type requestClass int
 
-// The standings of requests.
+// The request classes.
 const (
 	classInTime requestClass = iota
 	classLate
 )
 
-func (a *SlotRequest) class(now time.Time) requestClass {
-	if a.isLate(now) {
+func (r *SlotRequest) class(now time.Time) requestClass {
+	if r.isLate(now) {
 		return classLate
 	}
 	return classInTime
 }
 
-// contention is how many places are free, and how many requests of other boxes may take
-// one in this round.
+// contention is the number of free slots, and of requests at other boxes that may take one in this
+// round.
 type contention struct {
 	round        int64
 	free         float64
 	inTime, late float64
 }
 
-// contention returns who competes for how many places.
+// contention returns the contention for free slots in the current round.
 func (d *Dispatcher) contention(now time.Time) contention {
 	peers := d.totalPeerDemand(now)
 	return contention{
@@ -63,73 +63,74 @@
 	}
 }
 
-// arrivalsPerRound is how many requests come for the first time in one round.
+// arrivalsPerRound returns the number of new requests expected in one round.
 func (d *Demand) arrivalsPerRound() float64 {
 	return float64(d.Arrivals) * allocationRound.Seconds() / rateWindow.Seconds()
 }
 
-// competitors is how many requests of other boxes compete with one of a standing.
-func (c *contention) competitors(s requestClass) float64 {
-	if s == classLate {
+// competitors returns how many requests at other boxes compete with a request of a class.
+func (c *contention) competitors(class requestClass) float64 {
+	if class == classLate {
 		return c.inTime + c.late
 	}
 	return c.inTime
 }
 
-// isScarce reports whether places are to be shared out among the boxes.
-func (c *contention) isScarce(s requestClass) bool {
-	return c.free < scarcityFactor*(c.competitors(s)+1)
+// isScarce reports whether free slots are to be allocated to single boxes.
+func (c *contention) isScarce(class requestClass) bool {
+	return c.free < scarcityFactor*(c.competitors(class)+1)
 }
 
-// allocationWeight is the weight by which a box is drawn for a place.
+// allocationWeight returns the weight of a box in the allocation of a slot.
 func (d *Demand) allocationWeight() float64 {
 	return float64(d.InTime) + d.arrivalsPerRound() + idleWeight
 }
 
-// remainingShare is how many of a server's free places this box may still take in a round.
-func (d *Dispatcher) remainingShare(b *backend, free int, round int64, own float64) int {
+// remainingShare returns how many more of a server's free slots this box may take in a round.
+func (d *Dispatcher) remainingShare(b *backend, free int, round int64, weight float64) int {
 	if b.round != round {
 		b.round, b.takenInRound = round, 0
 	}
-	mine := 0
-	// What was taken in this round was free when it began.
-	for place := range free + b.takenInRound {
-		if d.owns(freeSlot{b.server.ID, place, round}, own) {
-			mine++
+	share := 0
+	// The slots that this box took in this round were free when it began.
+	for i := range free + b.takenInRound {
+		if d.owns(freeSlot{b.server.ID, i, round}, weight) {
+			share++
 		}
 	}
-	return mine - b.takenInRound
+	return share - b.takenInRound
 }
 
-// freeSlot names one free place in one round.
+// freeSlot identifies a free slot in one round.
 type freeSlot struct {
 	server fleet.ServerID
 	index  int
 	round  int64
 }
 
-// owns reports whether a place is this box's.
-func (d *Dispatcher) owns(c freeSlot, own float64) bool {
-	mine := c.score(d.self, own)
-	for box, told := range d.peerDemands.boxes {
-		if c.score(box, told.allocationWeight()) > mine {
+// owns reports whether a slot is allocated to this box.
+func (d *Dispatcher) owns(slot freeSlot, weight float64) bool {
+	ownScore := slot.score(d.self, weight)
+	for box, demand := range d.peerDemands.boxes {
+		if slot.score(box, demand.allocationWeight()) > ownScore {
 			return false
 		}
 	}
 	return true
 }
 
-// score is a box's score for a place; the highest gets it.
-func (c *freeSlot) score(box member.BoxID, weight float64) float64 {
-	var number [16]byte
-	binary.LittleEndian.PutUint64(number[:8], uint64(c.index))
-	binary.LittleEndian.PutUint64(number[8:], uint64(c.round))
+// score returns the score of a box for a slot. The slot is allocated to the box with the highest
+// score.
+func (s *freeSlot) score(box member.BoxID, weight float64) float64 {
+	var key [16]byte
+	binary.LittleEndian.PutUint64(key[:8], uint64(s.index))
+	binary.LittleEndian.PutUint64(key[8:], uint64(s.round))
 	var hash xxhash.Digest
 	hash.Reset()
-	_, _ = hash.WriteString(string(c.server))
-	_, _ = hash.Write(number[:])
+	_, _ = hash.WriteString(string(s.server))
+	_, _ = hash.Write(key[:])
 	_, _ = hash.WriteString(string(box))
-	// A number above 0 and below 1, of the 53 bits that a float holds.
-	drawn := (float64(hash.Sum64()>>11) + 0.5) / (1 << 53)
-	return -weight / math.Log(drawn)
+	// A number strictly between 0 and 1 from the upper 53 bits, the precision of a float64.
+	uniform := (float64(hash.Sum64()>>11) + 0.5) / (1 << 53)
+	return -weight / math.Log(uniform)
 }
--- a/pkg/route/allocation_test.go
+++ b/pkg/route/allocation_test.go
@@ -11,8 +11,8 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// manyBoxes returns entry boxes that all know the same: servers with some free places
-// each, and what every box is asked for.
+// manyBoxes returns entry boxes with the same state: servers with the given number of free slots
+// each, and the demand of every other box.
 func manyBoxes(boxes, servers, free int, demand Demand) []*testDispatcher {
 	all := make([]*testDispatcher, 0, boxes)
 	for i := range boxes {
@@ -39,13 +39,13 @@
 
 func boxID(i int) member.BoxID { return member.BoxID(fmt.Sprintf("entry-%d", i)) }
 
-// acquireOnAll lets every box ask for a place at the same moment, and returns what the servers
-// get.
+// acquireOnAll requests a slot at every box at the same time, and returns the number of slots taken
+// by server and in total.
 func acquireOnAll(boxes []*testDispatcher) (taken map[fleet.ServerID]int, all int) {
 	taken = make(map[fleet.ServerID]int)
 	for _, b := range boxes {
-		w := &QueuedRequest{req: b.request(), onGranted: func(place *Reservation) {
-			taken[place.Server.ID]++
+		w := &QueuedRequest{req: b.request(), onGranted: func(reservation *Reservation) {
+			taken[reservation.Server.ID]++
 			all++
 		}}
 		w.req.startBy = w.req.Objective
@@ -55,32 +55,32 @@
 	return taken, all
 }
 
-// Thirty-nine boxes that saw the same free places all took them; each server got several
-// requests more than it had room for.
+// 39 boxes with the same view of the free slots all took them, and each server got several requests
+// more than it had slots.
 func TestCompetingBoxesDoNotOversubscribeFreeSlots(t *testing.T) {
 	servers, all := acquireOnAll(manyBoxes(39, 10, 1, Demand{InTime: 1}))
 	for id, requests := range servers {
-		require.LessOrEqual(t, requests, 1, "server %s has one free place", id)
+		require.LessOrEqual(t, requests, 1, "server %s has one free slot", id)
 	}
-	require.GreaterOrEqual(t, all, 6, "few boxes win two places for one request")
+	require.GreaterOrEqual(t, all, 6, "few boxes are allocated two slots for one request")
 }
 
-// A box that is asked for more gets more of what is free.
+// A box with a higher demand is allocated more of the free slots.
 func TestSlotsAreAllocatedInProportionToDemand(t *testing.T) {
 	won := 0
 	b := newTestDispatcher(true)
 	b.self = "entry-0"
 	b.UpdatePeerDemand("entry-1", Demand{InTime: 1}, b.clock.Now())
 	busy := Demand{InTime: 3}
-	for place := range 1000 {
-		if b.owns(freeSlot{"a", place, 1}, busy.allocationWeight()) {
+	for index := range 1000 {
+		if b.owns(freeSlot{"a", index, 1}, busy.allocationWeight()) {
 			won++
 		}
 	}
 	require.InDelta(t, 750, won, 50)
 }
 
-// All boxes went to the one server that each believed to have the least load.
+// All boxes chose the one server that each saw as the least loaded.
 func TestConcurrentBoxesSpreadOverServers(t *testing.T) {
 	taken := make(map[fleet.ServerID]int)
 	for _, b := range manyBoxes(39, 10, 9, Demand{Arrivals: 16}) {
@@ -89,11 +89,11 @@
 	}
 	require.GreaterOrEqual(t, len(taken), 9)
 	for id, requests := range taken {
-		require.LessOrEqual(t, requests, 11, "server %s has room for 9 to 11", id)
+		require.LessOrEqual(t, requests, 11, "server %s may get 9 to 11 requests", id)
 	}
 }
 
-// No other box knows of the place yet, so it is not shared out.
+// No other box knows yet that the slot is free, so it is not allocated among the boxes.
 func TestReleasedSlotGoesToOwnQueue(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 4, 1))
 	var held []*Reservation
@@ -103,31 +103,31 @@
 	b.UpdatePeerDemand("others", Demand{InTime: 1000}, b.clock.Now())
 	granted := 0
 	for range 2 {
-		ask := b.request()
-		ask.startBy = ask.Objective
-		b.enqueue(&QueuedRequest{req: ask, onGranted: func(*Reservation) { granted++ }})
+		req := b.request()
+		req.startBy = req.Objective
+		b.enqueue(&QueuedRequest{req: req, onGranted: func(*Reservation) { granted++ }})
 	}
 	held[0].Release(ResultDone, b.clock.Now())
-	require.Equal(t, 1, granted, "one place, one request")
+	require.Equal(t, 1, granted, "one slot, one request")
 }
 
-// Late requests at one box took what became free while first ones waited at another.
+// Late requests at one box took the released slots while new requests were queued at another.
 func TestLateRequestLeavesFreeSlotsToInTimeRequestsOfPeers(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 12, 1))
 	b.UpdatePeerLoad("others", Load{"a": {Requests: 9}}, true, b.clock.Now())
 	late := func() error {
-		ask := b.retry()
-		ask.NoWait = true
-		_, err := b.Acquire(t.Context(), ask, b.clock)
+		req := b.retry()
+		req.NoWait = true
+		_, err := b.Acquire(t.Context(), req, b.clock)
 		return err
 	}
 	b.UpdatePeerDemand("others", Demand{InTime: 3}, b.clock.Now())
-	require.Error(t, late(), "three places are free, three others can be in time")
+	require.Error(t, late(), "three slots are free, three requests at other boxes are in time")
 	b.UpdatePeerDemand("others", Demand{}, b.clock.Now())
 	require.NoError(t, late())
 }
 
-func TestEmptyWholeReportClearsPeerLoad(t *testing.T) {
+func TestEmptyFullReportClearsPeerLoad(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 2, 1))
 	b.UpdatePeerLoad("entry-2", Load{"a": {Requests: 2}}, true, b.clock.Now())
 	b.UpdatePeerLoad("entry-2", nil, true, b.clock.Now())
@@ -135,20 +135,19 @@
 	require.Equal(t, member.FailureDomain("near"), b.acquire(t).Server.Domain)
 }
 
-// A place that was given back on a server that had left the list went to the next request
-// (DRAIN on mixed days).
+// A slot released on a server that was no longer listed was granted to the next request.
 func TestReleasedSlotOfUnlistedServerIsNotGranted(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 2, 1), modelServer("b", 2, 1))
 	held := make(map[fleet.ServerID][]*Reservation)
 	for range 4 {
-		place := b.acquire(t)
-		held[place.Server.ID] = append(held[place.Server.ID], place)
+		reservation := b.acquire(t)
+		held[reservation.Server.ID] = append(held[reservation.Server.ID], reservation)
 	}
 	b.SetServers([]fleet.Server{modelServer("b", 2, 1)}, 0, func(member.FailureDomain) bool { return true }, b.clock.Now())
 	var granted *Reservation
-	ask := b.request()
-	ask.startBy = ask.Objective
-	b.enqueue(&QueuedRequest{req: ask, onGranted: func(place *Reservation) { granted = place }})
+	req := b.request()
+	req.startBy = req.Objective
+	b.enqueue(&QueuedRequest{req: req, onGranted: func(reservation *Reservation) { granted = reservation }})
 	held["a"][0].Release(ResultDone, b.clock.Now())
 	require.Nil(t, granted)
 	held["b"][0].Release(ResultDone, b.clock.Now())
--- a/pkg/route/backend.go
+++ b/pkg/route/backend.go
@@ -9,143 +9,150 @@
 )
 
 const (
-	// serverStatusMaxAge is how long an agent's status counts.
+	// serverStatusMaxAge is the maximum age of the status that an agent reported.
 	serverStatusMaxAge = 1200 * time.Millisecond
-	// outdatedStatusMaxAge is after how long without a status a server with older weights is
-	// left alone while newer ones come: what is sent to it may arrive, or begin,
-	// after they may no longer. An agent speaks twice as often.
+	// outdatedStatusMaxAge is the maximum age of the status of a server whose version is older than
+	// the newest. Without a newer status, a request sent to it might arrive or start after the
+	// cutoff of its version. An agent reports twice within this time.
 	outdatedStatusMaxAge = 800 * time.Millisecond
-	// stallTimeout is after how long without the beginning of an answer a server is
-	// taken to stand still; answers of a full batch begin within half of it.
+	// stallTimeout is how long a server may take to start a response before it counts as stalled.
+	// Responses in a full batch start within half of it.
 	stallTimeout = 700 * time.Millisecond
-	// swapStatusMaxAge is how long a server is left alone whose agent ended while new
-	// weights were taken; the list tells of them by then.
+	// swapStatusMaxAge is how long a server gets no requests if its agent exits during a weight
+	// swap. By then the list has the new version.
 	swapStatusMaxAge = 5 * time.Second
-	// responsiveTTFB is within which time a server must have begun its last answer, at
-	// most responsiveMaxAge ago, to start requests shortly before its weights are barred.
+	// responsiveTTFB is the longest time to first byte, and responsiveMaxAge the longest time since
+	// the last response started, of a server that may still start requests shortly before the
+	// cutoff of its version.
 	responsiveTTFB   = 400 * time.Millisecond
 	responsiveMaxAge = time.Second
-	// unclaimedSmoothing is the weight of the newest report in the mean of what a server has
-	// in flight beyond what the entry boxes claim. Reports come twice a second or so.
+	// unclaimedSmoothing is the weight of the newest report in the moving average of the unclaimed
+	// requests of a server. Reports arrive about twice a second.
 	unclaimedSmoothing = 0.5
 )
 
-// The parts of a server's cost beside the share of its places that are taken.
+// The components of a server's cost in addition to the share of its slots that are in use.
 const (
-	// prefillScale is the time of reading prompts that costs as much as a full
-	// server: an answer begins only once the prompts before it are read.
+	// prefillScale is the outstanding prefill time that costs as much as a full server: a response
+	// starts only after the prefill of the prompts before it.
 	prefillScale = 800 * time.Millisecond
-	// costRemote is for a server of another region: each answer crosses a priced link, and what
-	// the boxes there send to it is heard later than what those of the own region do.
+	// costRemote is the cost of a server in another region: each response crosses a link whose
+	// traffic is billed, and the load reports of the boxes there arrive later than those of the own
+	// region.
 	costRemote = 0.4
-	// costStalled is for a server that seems to stand still: any other goes first.
+	// costStalled is the cost of a server that seems stalled: every other server precedes it.
 	costStalled = 2.0
-	// costSwap is for a server that is swapped before the answer would have ended:
-	// the answer has to go on elsewhere then.
+	// costSwap is the cost of a server whose weight swap comes before the expected end of the
+	// response, which then has to continue on another server.
 	costSwap = 0.6
-	// costFailures is for a server all of whose answers fail.
+	// costFailures is the cost of a server with a failure rate of 1.
 	costFailures = 4.0
 )
 
-// UpdateServerState is what an agent tells of the backend server on its box.
+// ServerState is the state of a backend server as the agent on its box reports it.
 type ServerState struct {
-	// Incarnation is which start of the server the agent speaks of; 0 if it does not say.
+	// Incarnation is the incarnation of the server that the report is about; 0 if it is not
+	// reported.
 	Incarnation member.Incarnation
-	// Version is the whole version that is loaded; 0 if there is none.
+	// Version is the complete version that is loaded; 0 if there is none.
 	Version fleet.WeightsVersion
-	// Swapping is set while the server takes nothing new.
+	// Swapping is set while the server accepts no requests because of a weight swap.
 	Swapping bool
-	// SwapAt is when the server is to be swapped; zero if that is not known.
+	// SwapAt is when the next weight swap of the server is planned; zero if that is not known.
 	SwapAt  time.Time
 	Running int
 	Waiting int
 	// Slowdown is above 1 when the server is slow.
 	Slowdown float64
-	// Silent is set when the agent fell silent: the box stands still or can't be
-	// reached, and the server with it. An agent that has ended is not silent.
+	// Silent is set when the agent stopped reporting without an announcement: its box is stalled or
+	// unreachable, and so is the server. It is not set for an agent that exited.
 	Silent bool
 }
 
-// backend is one server of a service as seen from this box.
+// backend is the state of one server of a service as this box knows it.
 type backend struct {
 	server fleet.Server
-	// incarnation is the latest start of the server that the list or its agent has told.
+	// incarnation is the latest incarnation of the server that the list or its agent has reported.
 	incarnation member.Incarnation
 	remote      bool
-	// listedVersion is the version that the list gives.
+	// listedVersion is the complete version according to the list; 0 if there is none.
 	listedVersion fleet.WeightsVersion
 
 	state   ServerState
 	stateAt time.Time
-	// ineligibleSince is when the server was first seen to take nothing; zero while it does.
+	// ineligibleSince is when the server was first found unable to run requests; zero while it is
+	// eligible.
 	ineligibleSince time.Time
-	// swapStart is when the server was last heard to be taken out of service.
+	// swapStart is when the start of the last weight swap was reported.
 	swapStart time.Time
 
 	ownLoad ServerLoad
-	// suspects is how many requests of this box are there under which another server has ended.
+	// suspects is the number of suspect requests of this box at the server.
 	suspects int
-	// unclaimed is how many requests the server has in flight, in the mean, that no entry box
-	// claims which this one hears: of boxes that are cut off from it, or were killed.
+	// unclaimed is the moving average of the requests in flight at the server that no known entry
+	// box claims: those of boxes that were killed or cannot reach this one.
 	unclaimed   float64
 	failureRate float64
 
-	// takenInRound is how many of the server's free places this box took in claimRound.
+	// takenInRound is how many of the server's free slots this box took in round.
 	takenInRound int
 	round        int64
 
 	ejectedUntil time.Time
 	ejections    int
-	// backoffUntil is until when the server wants nothing from this box; tested is unset from when it asked for rest
-	// until it has answered again.
+	// backoffUntil is the end of the backoff that the server requested from this box. recovered is
+	// false from that request until the server has responded again.
 	backoffUntil time.Time
 	recovered    bool
-	// replaced is set when the server was left alone because it had other weights
-	// than were asked for, or another id.
+	// replaced is set if the server was ejected because its weights or its ID differed from those
+	// requested.
 	replaced bool
 
-	// lastTTFB is how long the last answer here took to begin, lastStartedAt when it
-	// did.
+	// lastTTFB is the time to first byte of the last response to this box, lastStartedAt when that
+	// response started.
 	lastTTFB      time.Duration
 	lastStartedAt time.Time
-	// awaiting are when the requests were sent whose answers have not begun.
+	// awaiting maps each reservation whose response has not started to the time at which it was
+	// made.
 	awaiting map[*Reservation]time.Time
 }
 
-// newBackend returns a server of which nothing is known but which start of it this is.
+// newBackend returns a backend of which only the incarnation is known.
 func newBackend(incarnation member.Incarnation) *backend {
 	return &backend{incarnation: incarnation, recovered: true, awaiting: make(map[*Reservation]time.Time)}
 }
 
-// updateListedVersion takes what the list tells of the server's weights, unless it tells of an earlier start.
+// updateListedVersion sets the listed version, unless the list entry is about an earlier
+// incarnation.
 func (b *backend) updateListedVersion(server *fleet.Server, layers int) {
 	b.listedVersion = 0
 	if server.Incarnation < b.incarnation && server.Incarnation != 0 {
 		return
 	}
 	for i := range server.Models {
-		if version, whole := server.Models[i].CompleteVersion(layers); whole {
+		if version, complete := server.Models[i].CompleteVersion(layers); complete {
 			b.listedVersion = version
 		}
 	}
 }
 
-// maxFirstByteWait returns for how long an answer has been waited for to begin; 0 if
-// none is.
+// maxFirstByteWait returns the longest time that a request has been awaiting its first byte; 0 if
+// there is none.
 func (b *backend) maxFirstByteWait(now time.Time) time.Duration {
-	oldest := time.Duration(0)
+	longest := time.Duration(0)
 	for _, since := range b.awaiting {
-		oldest = max(oldest, now.Sub(since))
+		longest = max(longest, now.Sub(since))
 	}
-	return oldest
+	return longest
 }
 
-// isResponsive reports whether the server was seen to start requests at once.
+// isResponsive reports whether the server recently started requests without delay.
 func (b *backend) isResponsive(now time.Time) bool {
 	return now.Sub(b.lastStartedAt) < responsiveMaxAge && b.lastTTFB < responsiveTTFB && b.maxFirstByteWait(now) < responsiveTTFB
 }
 
-// version returns the whole version that the server has, by the newest word.
+// version returns the complete version that the server has, and whether a swap is in progress, from
+// the agent's status or, if that is too old, from the list.
 func (b *backend) version(now time.Time) (version fleet.WeightsVersion, swapping bool) {
 	if now.Sub(b.stateAt) < serverStatusMaxAge {
 		return b.state.Version, b.state.Swapping
@@ -153,10 +160,10 @@
 	return b.listedVersion, b.state.Swapping && now.Sub(b.stateAt) < swapStatusMaxAge
 }
 
-// slots is how many requests a server is given at once.
+// slots returns the number of requests that a server runs concurrently.
 func (d *Dispatcher) slots(b *backend) int { return max(1, b.server.Slots) }
 
-// anyEligible reports whether some server could run a request if it had room.
+// anyEligible reports whether any server could run a request if it had a free slot.
 func (d *Dispatcher) anyEligible(now time.Time) bool {
 	return slices.ContainsFunc(d.backendList, func(b *backend) bool { return d.isEligible(b, now) })
 }
@@ -179,20 +186,21 @@
 	return version >= d.preferred || b.isResponsive(now)
 }
 
-// isSwapping reports whether a server is about to have newer weights.
+// isSwapping reports whether a weight swap of the server is in progress.
 func (d *Dispatcher) isSwapping(b *backend, now time.Time) bool {
 	_, swapping := b.version(now)
 	return d.needsWeights && swapping && !b.state.Silent
 }
 
-// updateUnclaimed compares what a server has in flight with what the entry boxes claim.
+// updateUnclaimed updates the average of the requests in flight at a server that no entry box
+// claims.
 func (d *Dispatcher) updateUnclaimed(b *backend) {
 	claimed := d.peerLoads.sums[b.server.ID].Requests + b.ownLoad.Requests
 	b.unclaimed += unclaimedSmoothing * (float64(b.state.Running+b.state.Waiting-claimed) - b.unclaimed)
 }
 
-// Unclaimed returns how many requests the servers have in flight, by their agents' reports, that no entry box claims which
-// this one hears. More than a few for long say that it does not know what others have in flight.
+// Unclaimed returns how many requests are in flight at the servers, according to their agents, that
+// no known entry box claims. If it remains above a few, this box lacks the load reports of others.
 func (d *Dispatcher) Unclaimed(now time.Time) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -205,7 +213,7 @@
 	return int(unclaimed)
 }
 
-// load is what a server has in flight, as far as this box knows.
+// load returns the requests in flight at a server, as far as this box knows.
 func (d *Dispatcher) load(b *backend, now time.Time) ServerLoad {
 	load := d.peerLoads.sums[b.server.ID]
 	load.Requests += b.ownLoad.Requests
--- a/pkg/route/candidate.go
+++ b/pkg/route/candidate.go
@@ -5,28 +5,29 @@
 // candidate is a server that a request may be sent to.
 type candidate struct {
 	backend *backend
-	// cost is what it costs to send a request there, costPerRequest by how much each one
-	// raises that.
+	// cost is the cost of sending a request to the server, costPerRequest by how much each request
+	// raises it.
 	cost, costPerRequest float64
-	// room is how many more requests the server may get.
+	// room is how many more requests the server can accept.
 	room float64
 }
 
-// filled is how many requests bring the server to a level of cost.
+// filled returns how many requests raise the server's cost to the given level.
 func (c *candidate) filled(level float64) float64 {
 	return min(c.room, max(0, (level-c.cost)/c.costPerRequest))
 }
 
-// levelIterations is how often the interval is halved in which the level is looked for; the
-// costs of servers differ by a few units at most, a request costs about a tenth.
+// levelIterations is the number of bisection steps in the search for the cost level: the costs of
+// servers differ by a few units at most, and a request costs about 0.1.
 const levelIterations = 12
 
-// pickBackend draws a server. Entry boxes choose at the same time without knowing of each
-// other; if each took the cheapest, all would go there. So the requests that come in one
-// round, at all boxes, are thought to fill the cheapest servers to a common level, and
-// each server is drawn by what it would get (load interpretation: M. Dahlin,
-// Interpreting Stale Load Information, 1999).
-func pickBackend(candidates []candidate, coming, drawn float64) *backend {
+// pickBackend chooses a server at random. Entry boxes choose concurrently without knowledge of each
+// other's choice, so if each chose the cheapest server, all would choose the same one. Therefore
+// the requests expected at all boxes in one round are assumed to fill the cheapest servers up to a
+// common cost level, and the probability of each server is proportional to the requests that it
+// would get (see M. Dahlin, Interpreting Stale Load Information, 1999). The argument point is a
+// random number in [0, 1).
+func pickBackend(candidates []candidate, expected, point float64) *backend {
 	if len(candidates) == 0 {
 		return nil
 	}
@@ -37,17 +38,17 @@
 		high = max(high, c.cost+c.room*c.costPerRequest)
 		room += c.room
 	}
-	coming = max(1, min(coming, room))
+	expected = max(1, min(expected, room))
 	for range levelIterations {
-		if level := (low + high) / 2; filledAll(candidates, level) < coming {
+		if level := (low + high) / 2; filledAll(candidates, level) < expected {
 			low = level
 		} else {
 			high = level
 		}
 	}
-	drawn *= filledAll(candidates, high)
+	point *= filledAll(candidates, high)
 	for i := range candidates {
-		if drawn -= candidates[i].filled(high); drawn < 0 {
+		if point -= candidates[i].filled(high); point < 0 {
 			return candidates[i].backend
 		}
 	}
--- a/pkg/route/capacity.go
+++ b/pkg/route/capacity.go
@@ -3,32 +3,33 @@
 import "time"
 
 const (
-	// sampleThreshold is up to how many servers every one is looked at for each decision.
+	// sampleThreshold is the largest number of servers that are all considered for each decision.
 	sampleThreshold = 64
-	// sampleSize is how many are looked at where there are more, half of them in the
-	// own region: the best of twelve that are drawn is among the best eighth of all nine
-	// times out of ten.
+	// sampleSize is the number of servers considered if there are more, half of them in the own
+	// region: the best of twelve random servers is among the best eighth of all nine times out of
+	// ten.
 	sampleSize = 24
-	// capacityMaxAge is for how long the census of many servers serves; what this box does
-	// meanwhile is counted in.
+	// capacityMaxAge is the maximum age of the capacity snapshot if there are more than
+	// sampleThreshold servers. Reservations of this box are counted in at once.
 	capacityMaxAge = 50 * time.Millisecond
 )
 
-// capacitySnapshot is what is known of all servers together.
+// capacitySnapshot is the total capacity of all servers at one time.
 type capacitySnapshot struct {
 	at time.Time
 	// changes is the dispatcher's count of changes at that time.
 	changes uint64
-	// slots is how many places the servers have that take requests, free how many of
-	// them are free.
+	// slots is the number of slots of the eligible servers, free how many of them are free.
 	slots, free int
-	// maxRate is the total request rate that these servers can run.
+	// maxRate is the total request rate, per second, that these servers can run.
 	maxRate float64
-	// local and far are the servers without a rate limit that take requests and have room, by region; limited are those with one.
+	// local and remote are the eligible servers with a free slot and no rate limit, by region;
+	// limited are those with a rate limit.
 	local, remote, limited []*backend
 }
 
-// currentCapacity returns the census. With few servers it is exact, with many a little old.
+// currentCapacity returns the capacity snapshot. It is exact up to sampleThreshold servers, and at
+// most capacityMaxAge old with more.
 func (d *Dispatcher) currentCapacity(now time.Time) *capacitySnapshot {
 	c := &d.capacity
 	if age := now.Sub(c.at); c.changes == d.changes && age == 0 || len(d.backendList) > sampleThreshold && age >= 0 && age < capacityMaxAge {
@@ -40,10 +41,10 @@
 		if !d.isEligible(b, now) {
 			continue
 		}
-		limit := d.slots(b)
-		c.slots += limit
+		slots := d.slots(b)
+		c.slots += slots
 		c.maxRate += d.maxRate(b)
-		free := limit - d.load(b, now).Requests
+		free := slots - d.load(b, now).Requests
 		bucket := d.buckets[b.server.ID]
 		if bucket != nil {
 			free = min(free, bucket.available(now))
@@ -64,28 +65,30 @@
 	return c
 }
 
-// collectCandidates collects the servers that a request may be sent to, of many a sample.
-func (d *Dispatcher) collectCandidates(ask *SlotRequest, now time.Time) {
+// collectCandidates collects the servers that a request may be sent to, or a sample if there are
+// many.
+func (d *Dispatcher) collectCandidates(req *SlotRequest, now time.Time) {
 	c := d.currentCapacity(now)
 	d.candidates = d.candidates[:0]
-	d.addCandidates(ask, c.limited, min(len(c.limited), limitedSample), now)
+	d.addCandidates(req, c.limited, min(len(c.limited), limitedSample), now)
 	if len(c.local)+len(c.remote) <= sampleThreshold {
-		d.addCandidates(ask, c.local, len(c.local), now)
-		d.addCandidates(ask, c.remote, len(c.remote), now)
+		d.addCandidates(req, c.local, len(c.local), now)
+		d.addCandidates(req, c.remote, len(c.remote), now)
 		return
 	}
-	near := min(len(c.local), sampleSize/2)
-	d.addCandidates(ask, c.local, near, now)
-	d.addCandidates(ask, c.remote, min(len(c.remote), sampleSize-near), now)
+	local := min(len(c.local), sampleSize/2)
+	d.addCandidates(req, c.local, local, now)
+	d.addCandidates(req, c.remote, min(len(c.remote), sampleSize-local), now)
 }
 
-// addCandidates adds so many of some servers to the candidates: all of them, or some drawn.
-func (d *Dispatcher) addCandidates(ask *SlotRequest, servers []*backend, count int, now time.Time) {
+// addCandidates adds count of the given servers to the candidates, chosen at random if there are
+// more.
+func (d *Dispatcher) addCandidates(req *SlotRequest, servers []*backend, count int, now time.Time) {
 	for i := range count {
 		if count < len(servers) {
 			i = int(d.random() * float64(len(servers)))
 		}
-		if c, ok := d.candidate(servers[i], ask, now); ok {
+		if c, ok := d.candidate(servers[i], req, now); ok {
 			d.candidates = append(d.candidates, c)
 		}
 	}
--- a/pkg/route/capacity_test.go
+++ b/pkg/route/capacity_test.go
@@ -12,7 +12,7 @@
 	"github.com/cinderslip/cinderslip/pkg/fleet"
 )
 
-// manyServers returns a dispatcher of more servers than are all looked at.
+// manyServers returns a dispatcher with the given number of servers, half of them remote.
 func manyServers(servers, slots int) *testDispatcher {
 	list := make([]fleet.Server, 0, servers)
 	for i := range servers {
@@ -27,42 +27,42 @@
 	return b
 }
 
-// Of many servers a sample is looked at: all places are found all the same, none is given
-// twice, and those of the own region come first.
+// With many servers only a sample is considered. All slots must still be found, none used twice,
+// and local servers preferred.
 func TestAllSlotsOfManyServersAreFound(t *testing.T) {
 	const servers, slots = 4 * sampleThreshold, 8
 	b := manyServers(servers, slots)
-	taken, near := make(map[fleet.ServerID]int), 0
+	taken, local := make(map[fleet.ServerID]int), 0
 	for i := range servers * slots {
-		place := b.acquire(t)
-		taken[place.Server.ID]++
-		require.LessOrEqual(t, taken[place.Server.ID], slots)
-		if i < servers/2 && place.Server.Domain == "near" {
-			near++
+		reservation := b.acquire(t)
+		taken[reservation.Server.ID]++
+		require.LessOrEqual(t, taken[reservation.Server.ID], slots)
+		if i < servers/2 && reservation.Server.Domain == "near" {
+			local++
 		}
 		b.clock.Advance(capacityMaxAge)
 	}
-	require.Greater(t, near, servers/2*9/10)
+	require.Greater(t, local, servers/2*9/10)
 	require.Zero(t, b.currentCapacity(b.clock.Now()).free)
-	ask := b.request()
-	ask.NoWait = true
-	_, err := b.Acquire(t.Context(), ask, b.clock)
+	req := b.request()
+	req.NoWait = true
+	_, err := b.Acquire(t.Context(), req, b.clock)
 	require.Error(t, err)
 }
 
 func TestCapacitySnapshotCountsOwnReservations(t *testing.T) {
 	b := manyServers(2*sampleThreshold, 1)
 	free := b.currentCapacity(b.clock.Now()).free
-	place := b.acquire(t)
+	reservation := b.acquire(t)
 	require.Equal(t, free-1, b.currentCapacity(b.clock.Now()).free)
-	place.Release(ResultDone, b.clock.Now())
+	reservation.Release(ResultDone, b.clock.Now())
 	require.Equal(t, free, b.currentCapacity(b.clock.Now()).free)
 	b.UpdateServer("s-0", ServerState{Version: 1, Running: 1, Waiting: 20}, b.clock.Now())
 	b.clock.Advance(capacityMaxAge)
 	require.Equal(t, free-1, b.currentCapacity(b.clock.Now()).free)
 }
 
-// The queue is counted by its order; that is the same as asking every request in it.
+// The queue is counted by binary search, with the same result as a scan of all requests.
 func TestQueueCountsMatchLinearScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newTestDispatcher(true)
@@ -76,9 +76,9 @@
 		for range rapid.IntRange(0, 30).Draw(t, "waiting") {
 			b.enqueue(&QueuedRequest{req: draw()})
 		}
-		ask := draw()
+		req := draw()
 		if rapid.Bool().Draw(t, "queued") && len(b.queue) > 0 {
-			ask = b.queue[rapid.IntRange(0, len(b.queue)-1).Draw(t, "place")].req
+			req = b.queue[rapid.IntRange(0, len(b.queue)-1).Draw(t, "index")].req
 		}
 		wantAhead, wantInTime, wantLate := 0, 0, 0
 		for _, w := range b.queue {
@@ -87,21 +87,21 @@
 			} else {
 				wantInTime++
 			}
-			if w.req != ask && isAhead(w.req, ask, now) {
+			if w.req != req && isAhead(w.req, req, now) {
 				wantAhead++
 			}
 		}
 		inTime, late := b.queueCounts(now)
-		if inTime != wantInTime || late != wantLate || b.ahead(ask, now) != wantAhead {
-			t.Fatalf("%d in time, %d late, %d ahead; want %d, %d, %d", inTime, late, b.ahead(ask, now), wantInTime, wantLate, wantAhead)
+		if inTime != wantInTime || late != wantLate || b.ahead(req, now) != wantAhead {
+			t.Fatalf("%d in time, %d late, %d ahead; want %d, %d, %d", inTime, late, b.ahead(req, now), wantInTime, wantLate, wantAhead)
 		}
 	})
 }
 
-// isAhead reports whether a waiting request gets a place before another one.
-func isAhead(waiting, ask *SlotRequest, now time.Time) bool {
-	if late := waiting.isLate(now); late != ask.isLate(now) {
+// isAhead reports whether a waiting request gets a slot before another one.
+func isAhead(waiting, req *SlotRequest, now time.Time) bool {
+	if late := waiting.isLate(now); late != req.isLate(now) {
 		return !late
 	}
-	return !hasPrecedence(ask, waiting)
+	return !hasPrecedence(req, waiting)
 }
--- a/pkg/route/demand.go
+++ b/pkg/route/demand.go
@@ -6,31 +6,33 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// Demand is what one entry box is asked for of a service beyond what it has in flight.
+// Demand is the demand for a service at one entry box, without the requests whose responses have
+// started.
 type Demand struct {
-	// Arrivals is how many requests came for the first time in the last rateWindow.
+	// Arrivals is the number of new requests in the last rateWindow.
 	Arrivals int
-	// InTime is how many requests wait for a place that can still meet their objective,
-	// Late how many of the others.
+	// InTime is the number of queued requests that can still meet their objective, Late that of the
+	// others.
 	InTime, Late int
-	// AwaitingFirstByte is how many requests hold a place whose answers have not begun.
+	// AwaitingFirstByte is the number of requests that hold a slot and whose responses have not
+	// started.
 	AwaitingFirstByte int
 }
 
 // Demands are the demands of one entry box, by service.
 type Demands map[member.Service]Demand
 
-// peerDemand is what another entry box told last, and when.
+// peerDemand is the last demand that another entry box reported, and when.
 type peerDemand struct {
 	Demand
 	at time.Time
 }
 
-// peerDemands keeps what the other entry boxes are asked for, and the sum.
+// peerDemands holds the demands of the other entry boxes and their sum.
 type peerDemands struct {
 	boxes map[member.BoxID]peerDemand
 	sum   Demand
-	// oldest is when the oldest of them was told, or before.
+	// oldest is a lower bound of the time of the oldest report.
 	oldest time.Time
 }
 
@@ -43,20 +45,20 @@
 	p.boxes[box] = peerDemand{demand, now}
 }
 
-// expire forgets the boxes that have told nothing for long.
+// expire removes the boxes whose last report is older than peerLoadMaxAge.
 func (p *peerDemands) expire(now time.Time) {
 	if now.Sub(p.oldest) < peerLoadMaxAge {
 		return
 	}
 	p.oldest = now
-	for box, told := range p.boxes {
-		if now.Sub(told.at) >= peerLoadMaxAge {
-			p.sum.add(told.Demand, -1)
+	for box, demand := range p.boxes {
+		if now.Sub(demand.at) >= peerLoadMaxAge {
+			p.sum.add(demand.Demand, -1)
 			delete(p.boxes, box)
 			continue
 		}
-		if told.at.Before(p.oldest) {
-			p.oldest = told.at
+		if demand.at.Before(p.oldest) {
+			p.oldest = demand.at
 		}
 	}
 }
@@ -68,7 +70,7 @@
 	d.AwaitingFirstByte += sign * other.AwaitingFirstByte
 }
 
-// Demand returns what this box is asked for.
+// Demand returns the demand of this box.
 func (d *Dispatcher) Demand(now time.Time) Demand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -80,32 +82,32 @@
 	return Demand{Arrivals: d.arrivals.count(now), InTime: inTime, Late: late, AwaitingFirstByte: len(d.awaiting)}
 }
 
-// UpdatePeerDemand takes what another entry box is asked for.
+// UpdatePeerDemand records the demand that another entry box reported.
 func (d *Dispatcher) UpdatePeerDemand(box member.BoxID, demand Demand, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.peerDemands.set(box, demand, now)
 }
 
-// totalPeerDemand sums what the other entry boxes told lately.
+// totalPeerDemand returns the sum of the other entry boxes' current demands.
 func (d *Dispatcher) totalPeerDemand(now time.Time) Demand {
 	d.peerDemands.expire(now)
 	return d.peerDemands.sum
 }
 
 const (
-	// rateWindow is over which time arrivals are counted: bursts begin and end within a
-	// second or so.
+	// rateWindow is the period over which arrivals are counted: bursts start and end within about a
+	// second.
 	rateWindow = time.Second
-	// rateBuckets is in how many parts it is counted.
+	// rateBuckets is the number of buckets that rateWindow is divided into.
 	rateBuckets = 10
 )
 
 // rateMeter counts events over the last rateWindow.
 type rateMeter struct {
 	counts [rateBuckets + 1]int
-	// at is the number of the newest part, counted from started.
-	at      int64
+	// newest is the number of the newest bucket, counted from started.
+	newest  int64
 	started time.Time
 }
 
@@ -114,24 +116,24 @@
 		m.started = now
 	}
 	at := int64(now.Sub(m.started) / (rateWindow / rateBuckets))
-	for steps := 0; m.at < at && steps < len(m.counts); steps++ {
-		m.at++
-		m.counts[m.at%int64(len(m.counts))] = 0
+	for steps := 0; m.newest < at && steps < len(m.counts); steps++ {
+		m.newest++
+		m.counts[m.newest%int64(len(m.counts))] = 0
 	}
-	m.at = max(m.at, at)
+	m.newest = max(m.newest, at)
 }
 
 func (m *rateMeter) add(now time.Time) {
 	m.advance(now)
-	m.counts[m.at%int64(len(m.counts))]++
+	m.counts[m.newest%int64(len(m.counts))]++
 }
 
-// count returns the events of the last rateWindow, without the part that is not over.
+// count returns the number of events in the last rateWindow, without the current bucket.
 func (m *rateMeter) count(now time.Time) int {
 	m.advance(now)
 	sum := 0
 	for i, count := range m.counts {
-		if int64(i) != m.at%int64(len(m.counts)) {
+		if int64(i) != m.newest%int64(len(m.counts)) {
 			sum += count
 		}
 	}
--- a/pkg/route/dispatch.go
+++ b/pkg/route/dispatch.go
@@ -11,118 +11,120 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// ErrNoServer reports a service without a backend server that could run the
-// request.
+// ErrNoServer reports that a service has no backend server that can run the request.
 var ErrNoServer = errors.New("no backend server can run the request")
 
-// lateShare is the part of a server's places that late requests may take.
+// lateShare is the share of a server's slots that late requests may occupy.
 const lateShare = 0.85
 
-// SlotRequest is a request for a place.
+// SlotRequest is a request for a slot on a backend server.
 type SlotRequest struct {
-	// Priority is 0 for the most urgent.
+	// Priority is the request's priority; 0 is the most urgent.
 	Priority int
-	// Arrived is when the request came.
+	// Arrived is when the slot was requested.
 	Arrived time.Time
-	// Objective is when the first byte of the answer is expected, counted from when the
-	// caller asked for the first time.
+	// Objective is when the first byte of the response is due, counted from the caller's first
+	// attempt.
 	Objective time.Time
-	// Prefill is how long the server takes to read the request itself.
+	// Prefill is the time the server needs for the prefill of the request.
 	Prefill time.Duration
-	// HoldTime is how long the request is expected to hold its place.
+	// HoldTime is how long the request is expected to hold its slot.
 	HoldTime time.Duration
 	Deadline time.Time
-	// CallerTimeout is after how long without an answer the caller leaves; 0 if it stays to
-	// its deadline.
+	// CallerTimeout is how long the caller waits for the first byte; 0 if it waits until its
+	// deadline.
 	CallerTimeout time.Duration
-	// Retry is set for a caller that was refused before.
+	// Retry is set if the caller's request was rejected before.
 	Retry bool
-	// Resuming is set for an answer that has begun and goes on at another server.
+	// Resuming is set if the response has started and continues on another server.
 	Resuming bool
-	// Tried are servers that it was sent to already.
+	// Tried are the servers that the request was already sent to.
 	Tried []fleet.ServerID
-	// NoWait is set if the request must start at once or not at all.
+	// NoWait is set if the request must not be queued.
 	NoWait bool
-	// Suspect is set if a server has ended under the request. Two of them never go to one server, so that its end
-	// tells which of them is to blame.
+	// Suspect is set if a server exited while it ran the request. No two such requests run on one
+	// server at the same time, so that another exit identifies the request that caused it.
 	Suspect bool
 
-	// startBy is when the request must start to meet its objective.
+	// startBy is the latest start with which the request can meet its objective.
 	startBy time.Time
 	// queued is set while the request is in the queue.
 	queued bool
 }
 
-// isLate reports whether the request can't meet its objective any more.
-func (a *SlotRequest) isLate(now time.Time) bool { return a.startBy.Before(now) }
+// isLate reports whether the request can no longer meet its objective.
+func (r *SlotRequest) isLate(now time.Time) bool { return r.startBy.Before(now) }
 
-// Dispatcher shares the places of one service's backend servers among requests.
-// Several entry boxes do so at once; each tells the others what it has in
-// flight. It is safe for concurrent use.
+// Dispatcher assigns the slots of one service's backend servers to requests. Several entry boxes
+// assign the same slots concurrently and report their requests in flight to each other. It is safe
+// for concurrent use.
 type Dispatcher struct {
 	mu          sync.Mutex
 	backends    map[fleet.ServerID]*backend
 	backendList []*backend
-	// leaving are the servers of the list that have said that they will end.
+	// leaving are the listed servers that have announced that they will exit.
 	leaving  map[fleet.ServerID]bool
 	backoffs backoffs
 	// buckets are the token buckets of the servers with a rate limit.
 	buckets   map[fleet.ServerID]*tokenBucket
 	peerLoads *peerLoads
-	// boxes is how many entry boxes share the places.
+	// boxes is the number of entry boxes that share the slots.
 	boxes int
 	queue []*QueuedRequest
-	// arrivals are the requests that come to this box for the first time.
+	// arrivals counts the new requests at this box.
 	arrivals rateMeter
-	// peerDemands are what the other entry boxes are asked for.
+	// peerDemands are the demands that the other entry boxes reported.
 	peerDemands peerDemands
-	// typicalHoldTime is how long a request holds its place, in the mean.
+	// typicalHoldTime is the moving average of the time that a request holds its slot.
 	typicalHoldTime time.Duration
-	// ttfb is how long an answer takes to begin beside reading the request, and
-	// deviation by how much that differs, in the mean.
+	// ttfb is the moving average of the time to first byte without prefill, ttfbDeviation that of
+	// its absolute deviation.
 	ttfb             time.Duration
 	ttfbDeviation    time.Duration
 	scheduledRetries scheduledRetries
-	// slack is how long a first request can wait until it must start, in the mean.
+	// slack is the moving average of the time that a new request can wait and still meet its
+	// objective.
 	slack time.Duration
-	// swapTime is how long a server is out of service for newer weights, in the mean.
+	// swapTime is the moving average of the time that a server is out of service for a weight swap.
 	swapTime time.Duration
 	forecast forecast
-	// required is the oldest version of weights that may start a request.
+	// required is the oldest version of the weights that may start a request.
 	required fleet.WeightsVersion
-	// preferred is the oldest version for any server; older ones, down to the
-	// required, start requests only on servers that were seen to do so at once.
+	// preferred is the oldest version that may start a request on any server. Versions from
+	// required up to preferred start requests only on servers that recently started some without
+	// delay.
 	preferred fleet.WeightsVersion
 	newest    fleet.WeightsVersion
 	// needsWeights is set for a service whose servers need weights to run requests.
 	needsWeights bool
 	random       func() float64
-	// self is the name of this box.
+	// self is the ID of this box.
 	self          member.BoxID
 	onLimitedSend func()
-	// awaiting are the requests that hold a place here whose answers have not begun, those included whose
-	// servers are no longer listed.
+	// awaiting are the reservations of this box whose responses have not started, including those
+	// on servers that are no longer listed.
 	awaiting map[*Reservation]struct{}
-	// changes counts what may change the census.
+	// changes counts the changes that may invalidate the capacity snapshot.
 	changes  uint64
 	capacity capacitySnapshot
-	// candidates is reused from one choice to the next.
+	// candidates is the buffer of collectCandidates, reused to avoid allocations.
 	candidates []candidate
 }
 
-// DispatcherOptions are what a dispatcher starts from.
+// DispatcherOptions are the options of NewDispatcher.
 type DispatcherOptions struct {
-	// TypicalHoldTime is how long a request holds a place, First how long an answer takes to begin,
-	// until better is known.
+	// TypicalHoldTime and TTFB are the initial estimates of how long a request holds its slot and
+	// of the time to first byte without prefill.
 	TypicalHoldTime, TTFB time.Duration
 	// NeedsWeights is set for a service whose servers need weights to run requests.
 	NeedsWeights bool
-	// Random returns numbers from 0 up to 1; nil for those of the process.
+	// Random returns random numbers in [0, 1); nil for math/rand/v2.
 	Random func() float64
-	// Box is the name of the entry box, by which it claims places.
+	// Box is the ID of this entry box, used to allocate slots among boxes.
 	Box member.BoxID
-	// OnLimitedSend is called when a request is sent to a server with a low rate limit, so that the other boxes can be told at once.
-	// It must not block or call the dispatcher. May be nil.
+	// OnLimitedSend is called when a request is sent to a server with a low rate limit, so that the
+	// load can be reported to the other boxes without delay. It must not block or call the
+	// dispatcher. It may be nil.
 	OnLimitedSend func()
 }
 
@@ -151,9 +153,9 @@
 	}
 }
 
-// SetServers replaces the list of servers. What is known of those that stay is
-// kept. Near reports whether a failure domain is in the own region.
-func (d *Dispatcher) SetServers(servers []fleet.Server, layers int, near func(member.FailureDomain) bool, now time.Time) {
+// SetServers replaces the list of servers. The state of servers that remain listed is kept. The
+// function isLocal reports whether a failure domain is in the region of this box.
+func (d *Dispatcher) SetServers(servers []fleet.Server, layers int, isLocal func(member.FailureDomain) bool, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	next := make(map[fleet.ServerID]*backend, len(servers))
@@ -168,7 +170,7 @@
 		if b == nil || server.Incarnation > b.incarnation {
 			b = d.newBackend(server.ID, server.Incarnation, now)
 		}
-		b.server, b.remote = server, !near(server.Domain)
+		b.server, b.remote = server, !isLocal(server.Domain)
 		d.setLimit(&server, now)
 		b.updateListedVersion(&server, layers)
 		d.updateIneligibleSince(b, now)
@@ -181,33 +183,36 @@
 	d.grant(nil, now)
 }
 
-// SetBoxCount sets how many entry boxes share the places.
+// SetBoxCount sets how many entry boxes share the slots.
 func (d *Dispatcher) SetBoxCount(boxes int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.boxes = max(1, boxes)
 }
 
-// VersionRequirements are the versions of weights that bear on where a request may start.
+// VersionRequirements are the versions of the weights that may start requests.
 type VersionRequirements struct {
-	// Required is the oldest that may start a request at all.
+	// Required is the oldest version that may start a request.
 	Required fleet.WeightsVersion
-	// Preferred is the oldest that may on a server that is slow to start.
+	// Preferred is the oldest version that may start a request on a server that does not respond
+	// quickly.
 	Preferred fleet.WeightsVersion
-	// RequiredInFlight is the oldest on which an answer may still begin that was asked for before.
+	// RequiredInFlight is the oldest version on which the response to a request already sent may
+	// still start.
 	RequiredInFlight fleet.WeightsVersion
-	// Newest is the version that the servers should come to.
+	// Newest is the version that all servers are to load.
 	Newest fleet.WeightsVersion
 }
 
-// RequireVersions sets which versions may start requests, and gives up those that have not begun on
-// older ones.
+// RequireVersions sets which versions may start requests, and cancels the requests on older
+// versions whose responses have not started.
 func (d *Dispatcher) RequireVersions(versions VersionRequirements, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.changes++
 	changed := d.required != versions.Required
-	// Only a service whose servers need weights has versions, as a service may from some moment on.
+	// Only a service whose servers need weights has versions. A service may begin to use weights at
+	// any time.
 	d.needsWeights = true
 	d.required, d.preferred, d.newest = versions.Required, versions.Preferred, versions.Newest
 	d.cancelOlder(versions.RequiredInFlight)
@@ -216,16 +221,17 @@
 	}
 }
 
-// cancelOlder gives up the requests whose answers have not begun on weights older than a version.
-func (d *Dispatcher) cancelOlder(begun fleet.WeightsVersion) {
-	for place := range d.awaiting {
-		if place.Version < begun && place.cancel != nil {
-			place.cancel()
+// cancelOlder cancels the requests on versions older than minVersion whose responses have not
+// started.
+func (d *Dispatcher) cancelOlder(minVersion fleet.WeightsVersion) {
+	for reservation := range d.awaiting {
+		if reservation.Version < minVersion && reservation.cancel != nil {
+			reservation.cancel()
 		}
 	}
 }
 
-// UpdateServer takes what an agent tells of a server.
+// UpdateServer records the state of a server as its agent reported it.
 func (d *Dispatcher) UpdateServer(id fleet.ServerID, state ServerState, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -245,22 +251,22 @@
 	}
 }
 
-// currentBackend returns the backend of which an agent tells; nil if there is none, or the agent
-// speaks of an earlier start. One that tells of a later start than is known ends all that is
-// believed of the one before: its weights, swaps, failures and what is in flight there.
-func (d *Dispatcher) currentBackend(id fleet.ServerID, told member.Incarnation, now time.Time) *backend {
+// currentBackend returns the backend with the incarnation that an agent reports. It returns nil if
+// there is no such server or the report is about an earlier incarnation. A later incarnation
+// replaces the known one and discards its weights, swaps, failures and requests in flight.
+func (d *Dispatcher) currentBackend(id fleet.ServerID, incarnation member.Incarnation, now time.Time) *backend {
 	b := d.backends[id]
 	switch {
-	case b == nil || told == 0 || told == b.incarnation:
+	case b == nil || incarnation == 0 || incarnation == b.incarnation:
 		return b
-	case told < b.incarnation:
+	case incarnation < b.incarnation:
 		return nil
 	case b.incarnation == 0:
-		// The list does not tell starts, so nothing says that this is another one.
-		b.incarnation = told
+		// The list does not report incarnations, so this report does not indicate a restart.
+		b.incarnation = incarnation
 		return b
 	}
-	next := d.newBackend(id, told, now)
+	next := d.newBackend(id, incarnation, now)
 	next.server, next.remote = b.server, b.remote
 	d.backends[id] = next
 	d.backendList[slices.Index(d.backendList, b)] = next
@@ -268,7 +274,7 @@
 	return next
 }
 
-// updateIneligibleSince notes since when a server takes nothing.
+// updateIneligibleSince records since when a server cannot run requests.
 func (d *Dispatcher) updateIneligibleSince(b *backend, now time.Time) {
 	switch {
 	case d.isEligible(b, now):
@@ -278,7 +284,7 @@
 	}
 }
 
-// updateSwapTime learns how long swaps take.
+// updateSwapTime updates the moving average of the time that a weight swap takes.
 func (d *Dispatcher) updateSwapTime(b *backend, state ServerState, now time.Time) {
 	switch {
 	case state.Swapping && !b.state.Swapping:
@@ -288,18 +294,18 @@
 	}
 }
 
-// UpdatePeerLoad takes what another entry box has in flight: at the servers that are
-// named, or, if whole is set, at these and no others.
-func (d *Dispatcher) UpdatePeerLoad(box member.BoxID, load Load, whole bool, now time.Time) {
+// UpdatePeerLoad records the requests that another entry box has in flight. If full is set, the
+// load covers all servers; otherwise it covers only those that changed.
+func (d *Dispatcher) UpdatePeerLoad(box member.BoxID, load Load, full bool, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.peerLoads.merge(box, load, whole, now)
+	d.peerLoads.merge(box, load, full, now)
 	d.takePeerSent(box, load, now)
 	d.changes++
 	d.grant(nil, now)
 }
 
-// OwnLoad returns what this box has in flight.
+// OwnLoad returns the requests that this box has in flight.
 func (d *Dispatcher) OwnLoad() Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -316,47 +322,49 @@
 	return load
 }
 
-// QueueLen returns how many requests are queued.
+// QueueLen returns the number of queued requests.
 func (d *Dispatcher) QueueLen() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.queue)
 }
 
-// choose takes a place for a request; nil if there is none for it. Freed is a server
-// where this box has just given a place back, which no other box knows to be free.
-func (d *Dispatcher) choose(ask *SlotRequest, freed *backend, now time.Time) *Reservation {
+// choose reserves a slot for a request, or returns nil if there is none for it. If freed is not
+// nil, this box has just released a slot on that server, and no other box knows yet that the slot
+// is free.
+func (d *Dispatcher) choose(req *SlotRequest, freed *backend, now time.Time) *Reservation {
 	d.peerLoads.expire(now)
-	competition, standing := d.contention(now), ask.class(now)
-	if standing == classLate && (competition.free <= competition.inTime || !d.hasLateSlot(now)) {
+	contention, class := d.contention(now), req.class(now)
+	if class == classLate && (contention.free <= contention.inTime || !d.hasLateSlot(now)) {
 		return nil
 	}
 	if freed != nil && d.buckets[freed.server.ID] == nil {
-		if c, ok := d.candidate(freed, ask, now); ok {
-			return d.reserve(c.backend, ask, now)
+		if c, ok := d.candidate(freed, req, now); ok {
+			return d.reserve(c.backend, req, now)
 		}
 	}
-	d.collectCandidates(ask, now)
-	if b := d.pickLimited(competition.competitors(standing)); b != nil {
-		return d.reserve(b, ask, now)
+	d.collectCandidates(req, now)
+	if b := d.pickLimited(contention.competitors(class)); b != nil {
+		return d.reserve(b, req, now)
 	}
-	coming := competition.competitors(standing) + 1
-	if competition.isScarce(standing) {
-		d.keepOwnShare(competition.round, now)
-		coming = 1
+	expected := contention.competitors(class) + 1
+	if contention.isScarce(class) {
+		d.keepOwnShare(contention.round, now)
+		expected = 1
 	}
-	b := pickBackend(d.candidates, coming, d.random())
+	b := pickBackend(d.candidates, expected, d.random())
 	if b == nil {
 		return nil
 	}
-	if b.round != competition.round {
-		b.round, b.takenInRound = competition.round, 0
+	if b.round != contention.round {
+		b.round, b.takenInRound = contention.round, 0
 	}
 	b.takenInRound++
-	return d.reserve(b, ask, now)
+	return d.reserve(b, req, now)
 }
 
-// keepOwnShare leaves those candidates that have places which are this box's.
+// keepOwnShare limits the candidates to the free slots that are allocated to this box. Servers with
+// a rate limit are not affected.
 func (d *Dispatcher) keepOwnShare(round int64, now time.Time) {
 	demand := d.demand(now)
 	weight := demand.allocationWeight()
@@ -366,39 +374,39 @@
 			kept = append(kept, c)
 			continue
 		}
-		if mine := d.remainingShare(c.backend, int(c.room), round, weight); mine > 0 {
-			c.room = float64(mine)
+		if share := d.remainingShare(c.backend, int(c.room), round, weight); share > 0 {
+			c.room = float64(share)
 			kept = append(kept, c)
 		}
 	}
 	d.candidates = kept
 }
 
-// candidate returns what it costs to send a request to a server; ok is false if it can't
-// be sent there.
-func (d *Dispatcher) candidate(b *backend, ask *SlotRequest, now time.Time) (c candidate, ok bool) {
-	if !d.isEligible(b, now) || b.isProbing(now) || slices.Contains(ask.Tried, b.server.ID) || ask.Suspect && b.suspects > 0 {
+// candidate returns the cost of sending a request to a server; ok is false if the request cannot be
+// sent there.
+func (d *Dispatcher) candidate(b *backend, req *SlotRequest, now time.Time) (c candidate, ok bool) {
+	if !d.isEligible(b, now) || b.isProbing(now) || slices.Contains(req.Tried, b.server.ID) || req.Suspect && b.suspects > 0 {
 		return candidate{}, false
 	}
-	load, limit := d.load(b, now), d.slots(b)
-	most := d.maxRequests(ask, limit, now)
-	if load.Requests >= most || load.Prefill > d.maxPrefill(ask, now) {
+	load, slots := d.load(b, now), d.slots(b)
+	maxRequests := d.maxRequests(req, slots, now)
+	if load.Requests >= maxRequests || load.Prefill > d.maxPrefill(req, now) {
 		return candidate{}, false
 	}
-	room := most - load.Requests
+	room := maxRequests - load.Requests
 	if bucket := d.buckets[b.server.ID]; bucket != nil {
 		if room = min(room, bucket.available(now)); room < 1 {
 			return candidate{}, false
 		}
 	}
 	c = candidate{
-		backend: b, costPerRequest: 1 / float64(limit), room: float64(room),
-		cost: float64(load.Requests)/float64(limit) + float64(load.Prefill)/float64(prefillScale) + costFailures*b.failureRate,
+		backend: b, costPerRequest: 1 / float64(slots), room: float64(room),
+		cost: float64(load.Requests)/float64(slots) + float64(load.Prefill)/float64(prefillScale) + costFailures*b.failureRate,
 	}
 	if b.remote {
 		c.cost += costRemote
 	}
-	if !b.state.SwapAt.IsZero() && now.Add(ask.HoldTime).After(b.state.SwapAt) {
+	if !b.state.SwapAt.IsZero() && now.Add(req.HoldTime).After(b.state.SwapAt) {
 		c.cost += costSwap
 	}
 	if b.maxFirstByteWait(now) > stallTimeout {
@@ -407,69 +415,70 @@
 	return c, true
 }
 
-// reserve takes a place on a server.
-func (d *Dispatcher) reserve(b *backend, ask *SlotRequest, now time.Time) *Reservation {
+// reserve reserves a slot on a server.
+func (d *Dispatcher) reserve(b *backend, req *SlotRequest, now time.Time) *Reservation {
 	version, _ := b.version(now)
-	place := &Reservation{
-		Server: b.server, Incarnation: b.incarnation, Version: version, dispatcher: d, backend: b, reservedAt: now, prefill: ask.Prefill,
-		prefillAhead: d.load(b, now).Prefill, suspect: ask.Suspect,
+	reservation := &Reservation{
+		Server: b.server, Incarnation: b.incarnation, Version: version, dispatcher: d, backend: b, reservedAt: now, prefill: req.Prefill,
+		prefillAhead: d.load(b, now).Prefill, suspect: req.Suspect,
 	}
-	if ask.Suspect {
+	if req.Suspect {
 		b.suspects++
 	}
-	place.takeToken(now)
-	d.awaiting[place] = struct{}{}
+	reservation.takeToken(now)
+	d.awaiting[reservation] = struct{}{}
 	d.changes++
 	d.capacity.free--
 	b.ownLoad.Requests++
-	b.ownLoad.Prefill += ask.Prefill
-	b.awaiting[place] = now
-	return place
+	b.ownLoad.Prefill += req.Prefill
+	b.awaiting[reservation] = now
+	return reservation
 }
 
-// maxRequests is how many requests a server may have before another one is sent
-// there. One that is late already leaves places to those that are not.
-func (d *Dispatcher) maxRequests(ask *SlotRequest, limit int, now time.Time) int {
-	if ask.isLate(now) {
-		return max(1, int(lateShare*float64(limit)))
+// maxRequests returns how many requests a server may have in flight after it accepts this one. Late
+// requests leave some slots to those that are in time.
+func (d *Dispatcher) maxRequests(req *SlotRequest, slots int, now time.Time) int {
+	if req.isLate(now) {
+		return max(1, int(lateShare*float64(slots)))
 	}
-	return limit
+	return slots
 }
 
-// maxPrefill is how much a server may have to read before a request is sent there:
-// what still lets the answer begin in time. One that is late already leaves half of what
-// those usually have to spare who are in time.
-func (d *Dispatcher) maxPrefill(ask *SlotRequest, now time.Time) time.Duration {
-	if left := ask.startBy.Sub(now); left >= 0 {
-		return left
+// maxPrefill returns how much outstanding prefill a server may have to accept a request. A request
+// that is in time allows as much as still lets it meet its objective. The limit for a late one is
+// half of what its own prefill leaves of the typical slack of new requests.
+func (d *Dispatcher) maxPrefill(req *SlotRequest, now time.Time) time.Duration {
+	if remaining := req.startBy.Sub(now); remaining >= 0 {
+		return remaining
 	}
-	return max(0, d.slack-ask.Prefill) / 2
+	return max(0, d.slack-req.Prefill) / 2
 }
 
-// grant gives free places to those who wait: first to those who can still be
-// answered in time, then to the others. Freed is as for choose.
+// grant assigns free slots to queued requests, first to those that are in time, then to late ones.
+// See choose for freed.
 func (d *Dispatcher) grant(freed *backend, now time.Time) {
 	for _, late := range []bool{false, true} {
 		for i := 0; i < len(d.queue); {
-			w := d.queue[i]
-			if w.req.isLate(now) != late {
+			queued := d.queue[i]
+			if queued.req.isLate(now) != late {
 				i++
 				continue
 			}
-			place := d.choose(w.req, freed, now)
-			if place == nil {
-				if len(w.req.Tried) == 0 && !w.req.Suspect {
-					// It could go anywhere, so those behind it find nothing either.
+			reservation := d.choose(queued.req, freed, now)
+			if reservation == nil {
+				if len(queued.req.Tried) == 0 && !queued.req.Suspect {
+					// The request could run on any server, so there is no slot for those behind it
+					// either.
 					return
 				}
 				i++
 				continue
 			}
-			if place.backend == freed {
+			if reservation.backend == freed {
 				freed = nil
 			}
 			d.dequeue(i)
-			w.onGranted(place)
+			queued.onGranted(reservation)
 		}
 	}
 }
--- a/pkg/route/dispatch_bench_test.go
+++ b/pkg/route/dispatch_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// BenchmarkDispatch takes a place and gives it back, among servers whose load is told
-// by other entry boxes.
+// BenchmarkDispatch reserves and releases a slot on servers whose load is reported by other entry
+// boxes.
 func BenchmarkDispatch(b *testing.B) {
 	for _, size := range []struct{ servers, boxes, limited int }{
 		{20, 6, 0}, {45, 42, 0}, {2000, 42, 0}, {12000, 42, 0}, {20, 6, 3}, {12000, 42, 100},
@@ -31,18 +31,17 @@
 				d.UpdatePeerLoad(member.BoxID(fmt.Sprint(box)), load, true, d.clock.Now())
 			}
 			for b.Loop() {
-				place, err := d.Acquire(context.Background(), d.request(), d.clock)
+				reservation, err := d.Acquire(context.Background(), d.request(), d.clock)
 				if err != nil {
 					b.Fatal(err)
 				}
-				place.Release(ResultDone, d.clock.Now())
+				reservation.Release(ResultDone, d.clock.Now())
 			}
 		})
 	}
 }
 
-// BenchmarkReject decides about a request that can't start in time, with a thousand that
-// wait.
+// BenchmarkReject rejects a request that cannot start in time, with a thousand requests queued.
 func BenchmarkReject(b *testing.B) {
 	servers := make([]fleet.Server, 0, 12000)
 	for i := range 12000 {
@@ -62,10 +61,10 @@
 		w.req.startBy = w.req.Objective
 		d.enqueue(w)
 	}
-	ask := d.retry()
+	req := d.retry()
 	for b.Loop() {
-		if _, _, err := d.Submit(ask, nil, d.clock.Now()); err == nil {
-			b.Fatal("a full service took a request")
+		if _, _, err := d.Submit(req, nil, d.clock.Now()); err == nil {
+			b.Fatal("a service without free slots accepted a request")
 		}
 	}
 }
--- a/pkg/route/dispatch_test.go
+++ b/pkg/route/dispatch_test.go
@@ -14,14 +14,14 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// testDispatcher is a dispatcher with a clock of its own.
+// testDispatcher is a dispatcher with a fake clock.
 type testDispatcher struct {
 	*Dispatcher
 	clock *clockwork.FakeClock
 }
 
-func newTestDispatcher(engine bool, servers ...fleet.Server) *testDispatcher {
-	b := &testDispatcher{Dispatcher: NewDispatcher(DispatcherOptions{TypicalHoldTime: time.Second, TTFB: 100 * time.Millisecond, NeedsWeights: engine}), clock: clockwork.NewFakeClockAt(time.Unix(1000, 0))}
+func newTestDispatcher(needsWeights bool, servers ...fleet.Server) *testDispatcher {
+	b := &testDispatcher{Dispatcher: NewDispatcher(DispatcherOptions{TypicalHoldTime: time.Second, TTFB: 100 * time.Millisecond, NeedsWeights: needsWeights}), clock: clockwork.NewFakeClockAt(time.Unix(1000, 0))}
 	b.SetServers(servers, 0, func(domain member.FailureDomain) bool { return domain != "far" }, b.clock.Now())
 	return b
 }
@@ -32,9 +32,9 @@
 
 func (b *testDispatcher) acquire(t *testing.T) *Reservation {
 	t.Helper()
-	place, err := b.Acquire(context.Background(), b.request(), b.clock)
+	reservation, err := b.Acquire(context.Background(), b.request(), b.clock)
 	require.NoError(t, err)
-	return place
+	return reservation
 }
 
 func modelServer(id string, slots int, version fleet.WeightsVersion) fleet.Server {
@@ -76,7 +76,7 @@
 	require.Equal(t, fleet.ServerID("b"), b.acquire(t).Server.ID)
 	require.Equal(t, fleet.ServerID("b"), b.acquire(t).Server.ID)
 	b.clock.Advance(peerLoadMaxAge)
-	require.Equal(t, fleet.ServerID("a"), b.acquire(t).Server.ID, "an old load no longer counts")
+	require.Equal(t, fleet.ServerID("a"), b.acquire(t).Server.ID, "an expired load does not count")
 }
 
 func TestNoRequestStartsOnVersionPastCutoff(t *testing.T) {
@@ -93,9 +93,9 @@
 	_, err := b.Acquire(context.Background(), b.request(), b.clock)
 	require.ErrorIs(t, err, ErrNoServer)
 	b.RequireVersions(VersionRequirements{Newest: 2}, b.clock.Now())
-	place := b.acquire(t)
+	reservation := b.acquire(t)
 	b.clock.Advance(responsiveTTFB / 2)
-	place.Started(b.clock.Now())
+	reservation.Started(b.clock.Now())
 	b.RequireVersions(VersionRequirements{Preferred: 2, Newest: 2}, b.clock.Now())
 	b.acquire(t)
 	b.clock.Advance(responsiveMaxAge)
@@ -132,11 +132,11 @@
 
 func TestTriedServerIsNotTriedAgain(t *testing.T) {
 	b := newTestDispatcher(false, modelServer("a", 4, 0), modelServer("b", 4, 0))
-	ask := b.request()
-	ask.Tried = []fleet.ServerID{"a"}
-	place, err := b.Acquire(context.Background(), ask, b.clock)
+	req := b.request()
+	req.Tried = []fleet.ServerID{"a"}
+	reservation, err := b.Acquire(context.Background(), req, b.clock)
 	require.NoError(t, err)
-	require.Equal(t, fleet.ServerID("b"), place.Server.ID)
+	require.Equal(t, fleet.ServerID("b"), reservation.Server.ID)
 }
 
 func TestUnreachableServerIsEjectedTemporarily(t *testing.T) {
@@ -153,9 +153,9 @@
 	b.UpdateServer("a", ServerState{Version: 1, Swapping: true}, b.clock.Now())
 	got := make(chan error, 1)
 	go func() {
-		ask := b.request()
-		ask.Retry = true
-		_, err := b.Acquire(context.Background(), ask, b.clock)
+		req := b.request()
+		req.Retry = true
+		_, err := b.Acquire(context.Background(), req, b.clock)
 		got <- err
 	}()
 	require.Eventually(t, func() bool { return b.QueueLen() == 1 }, 10*time.Second, time.Millisecond)
@@ -180,35 +180,36 @@
 	require.Zero(t, b.QueueLen())
 }
 
-// Whatever happens, no server is given more than its places by one box, none that
-// is barred, leaving or swapping gets a request, and every place comes back.
+// Checks with random operations that a box never reserves more than a server's slots, that no
+// server that is swapping or whose version is past its cutoff gets a request, and that every slot is
+// released.
 func TestSlotsAreNeverExceededAndAlwaysReleased(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := []fleet.Server{modelServer("a", 2, 1), modelServer("b", 3, 1), modelServer("c", 1, 2)}
 		b := newTestDispatcher(true, servers...)
-		type told struct {
+		type reportedState struct {
 			ServerState
 			at time.Time
 		}
-		states := make(map[fleet.ServerID]told)
+		states := make(map[fleet.ServerID]reportedState)
 		var held []*Reservation
 		required := fleet.WeightsVersion(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				ask := b.request()
-				ask.NoWait = true
-				place, err := b.Acquire(context.Background(), ask, b.clock)
+				req := b.request()
+				req.NoWait = true
+				reservation, err := b.Acquire(context.Background(), req, b.clock)
 				var busy *BusyError
 				if err != nil && !errors.As(err, &busy) && !errors.Is(err, ErrNoServer) {
 					t.Fatalf("acquire: %v", err)
 				}
 				if err == nil {
-					state := states[place.Server.ID]
-					if place.Version < required || state.Swapping && b.clock.Now().Sub(state.at) < swapStatusMaxAge {
-						t.Fatalf("place on %s with version %d, required %d, state %+v", place.Server.ID, place.Version, required, states[place.Server.ID])
+					state := states[reservation.Server.ID]
+					if reservation.Version < required || state.Swapping && b.clock.Now().Sub(state.at) < swapStatusMaxAge {
+						t.Fatalf("slot on %s with version %d, required %d, state %+v", reservation.Server.ID, reservation.Version, required, states[reservation.Server.ID])
 					}
-					held = append(held, place)
+					held = append(held, reservation)
 				}
 			case 2:
 				if len(held) > 0 {
@@ -218,7 +219,7 @@
 			case 3:
 				id := rapid.SampledFrom(servers).Draw(t, "server").ID
 				state := ServerState{Version: fleet.WeightsVersion(rapid.IntRange(1, 3).Draw(t, "version")), Swapping: rapid.Bool().Draw(t, "swapping")}
-				states[id] = told{state, b.clock.Now()}
+				states[id] = reportedState{state, b.clock.Now()}
 				b.UpdateServer(id, state, b.clock.Now())
 			case 4:
 				required = fleet.WeightsVersion(rapid.IntRange(0, 2).Draw(t, "required"))
@@ -227,17 +228,17 @@
 			for id, count := range b.OwnLoad() {
 				for _, server := range servers {
 					if server.ID == id && count.Requests > server.Slots {
-						t.Fatalf("%s has %d of %d places taken", id, count.Requests, server.Slots)
+						t.Fatalf("%s has %d of %d slots in use", id, count.Requests, server.Slots)
 					}
 				}
 			}
 			b.clock.Advance(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 		}
-		for _, place := range held {
-			place.Release(ResultDone, b.clock.Now())
+		for _, reservation := range held {
+			reservation.Release(ResultDone, b.clock.Now())
 		}
 		if own := b.OwnLoad(); len(own) != 0 {
-			t.Fatalf("places left: %v", own)
+			t.Fatalf("slots still in use: %v", own)
 		}
 	})
 }
@@ -264,7 +265,7 @@
 				events = append(events, event{at, false})
 			}
 		}
-		// The window's parts make it up to a tenth shorter than said.
+		// Because of its buckets, the window is up to a tenth shorter than configured.
 		for i, last := range events {
 			retries, requests := 0, 0
 			for _, e := range events[:i+1] {
@@ -282,8 +283,8 @@
 	})
 }
 
-// A link that has become narrow holds up what is sent; the answers that began
-// before say nothing of it.
+// Requests sent over a link that has become slow are delayed, while responses that started before
+// still make the server look responsive.
 func TestStalledServerGetsNoRequestsShortlyBeforeCutoff(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 4, 1))
 	started, waiting := b.acquire(t), b.acquire(t)
@@ -308,8 +309,8 @@
 	require.Equal(t, fleet.ServerID("a"), b.acquire(t).Server.ID)
 }
 
-// After a loss of power the list still has the servers of before; each tells that
-// it is another one now.
+// After a power failure the list still has the previous servers, and each server reports that it is
+// a different one.
 func TestReplacedServerIsEjectedUntilItsAgentReportsNewWeights(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 4, 1))
 	b.UpdateServer("a", ServerState{Version: 1}, b.clock.Now())
@@ -323,7 +324,7 @@
 	b.acquire(t)
 }
 
-// Late requests that took places as if they were in time made the next ones late too.
+// Late requests that took slots as if they were in time made later requests late too.
 func TestLateRequestUsesOnlySpareCapacity(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 10, 1))
 	late := func() *SlotRequest {
@@ -331,23 +332,22 @@
 	}
 	first := b.request()
 	first.Prefill = 30 * time.Millisecond
-	place, err := b.Acquire(t.Context(), first, b.clock)
+	reservation, err := b.Acquire(t.Context(), first, b.clock)
 	require.NoError(t, err)
 	_, err = b.Acquire(t.Context(), late(), b.clock)
-	require.Error(t, err, "the server reads a prompt")
-	place.Started(b.clock.Now())
+	require.Error(t, err, "the server is in prefill")
+	reservation.Started(b.clock.Now())
 	for range 7 {
-		place, err = b.Acquire(t.Context(), late(), b.clock)
+		reservation, err = b.Acquire(t.Context(), late(), b.clock)
 		require.NoError(t, err)
-		place.Started(b.clock.Now())
+		reservation.Started(b.clock.Now())
 	}
 	_, err = b.Acquire(t.Context(), late(), b.clock)
-	require.Error(t, err, "the places left are for requests in time")
+	require.Error(t, err, "the remaining slots are for requests in time")
 	b.acquire(t)
 }
 
-// What was refused while the service was full came back together, and was refused for
-// good.
+// Callers rejected while the service was full retried at the same time and were rejected for good.
 func TestRetryAfterIsStaggeredForRejectedRequests(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 1, 1))
 	b.acquire(t)
@@ -356,21 +356,21 @@
 		_, err := b.Acquire(t.Context(), b.request(), b.clock)
 		var busy *BusyError
 		require.ErrorAs(t, err, &busy)
-		require.LessOrEqual(t, busy.RetryAfter, 2*time.Second, "callers keep at most a third of their time")
+		require.LessOrEqual(t, busy.RetryAfter, 2*time.Second, "the wait is at most a third of the remaining time")
 		require.GreaterOrEqual(t, busy.RetryAfter, last-minRetryAfter, "request %d", i)
 		last = busy.RetryAfter
 	}
 	require.Greater(t, last, 1500*time.Millisecond)
 }
 
-// The second refusal is final, so one who comes back waits, in time or not.
+// The second rejection is final, so a retry is queued even if it is late.
 func TestRetryWaitsForSlot(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 1, 1))
 	held := b.acquire(t)
-	ask := &SlotRequest{Arrived: b.clock.Now(), Objective: b.clock.Now().Add(-time.Second), Deadline: b.clock.Now().Add(4 * time.Second), Retry: true}
+	req := &SlotRequest{Arrived: b.clock.Now(), Objective: b.clock.Now().Add(-time.Second), Deadline: b.clock.Now().Add(4 * time.Second), Retry: true}
 	got := make(chan error, 1)
 	go func() {
-		_, err := b.Acquire(context.Background(), ask, b.clock)
+		_, err := b.Acquire(context.Background(), req, b.clock)
 		got <- err
 	}()
 	require.Eventually(t, func() bool { return b.QueueLen() == 1 }, 10*time.Second, time.Millisecond)
@@ -378,15 +378,15 @@
 	require.NoError(t, <-got)
 }
 
-// An attempt without progress asks for a place elsewhere again and again; that pushed
-// the time to come back of all others to its longest.
+// An attempt without progress repeatedly requests a slot on another server. Counting these requests
+// as scheduled retries raised the Retry-After of all other callers to its maximum.
 func TestOnlyRejectedNewRequestsAreScheduledForRetry(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 1, 1))
 	b.acquire(t)
 	for range 50 {
-		once := b.request()
-		once.NoWait = true
-		_, err := b.Acquire(t.Context(), once, b.clock)
+		req := b.request()
+		req.NoWait = true
+		_, err := b.Acquire(t.Context(), req, b.clock)
 		require.Error(t, err)
 	}
 	_, err := b.Acquire(t.Context(), b.request(), b.clock)
--- a/pkg/route/forecast.go
+++ b/pkg/route/forecast.go
@@ -3,44 +3,43 @@
 import "time"
 
 const (
-	// minRetryAfter is the shortest time after which a caller is told to return.
+	// minRetryAfter is the shortest time after which a rejected caller is told to retry.
 	minRetryAfter = 100 * time.Millisecond
-	// maxRetryAfterDivisor is the part of its remaining time for which a caller waits at
-	// most: one in so many.
+	// maxRetryAfterDivisor limits the time to a retry: it is at most the caller's remaining time
+	// divided by this number.
 	maxRetryAfterDivisor = 3
-	// forecastStep is the step of the forecast of places, forecastSteps how many there
-	// are: callers leave, or come back as they are told, within three seconds.
+	// forecastStep is the length of a step of the forecast, forecastSteps the number of steps:
+	// callers time out or retry within three seconds.
 	forecastStep  = 200 * time.Millisecond
 	forecastSteps = 15
-	// forecastMaxAge is for how long a forecast counts.
+	// forecastMaxAge is the maximum age of a forecast.
 	forecastMaxAge = 50 * time.Millisecond
-	// defaultSwapTime is how long a server is out of service for newer weights until that
-	// has been seen, swapSmoothing the weight of the newest time in the mean.
+	// defaultSwapTime is the initial estimate of how long a server is out of service for a weight
+	// swap, swapSmoothing the weight of the newest sample in its moving average.
 	defaultSwapTime = time.Second
 	swapSmoothing   = 0.25
-	// minTTFB is the least that an answer is taken to need to begin, for estimates that
-	// divide by it.
+	// minTTFB is the lower bound of the time to first byte in estimates that divide by it.
 	minTTFB = 20 * time.Millisecond
 )
 
-// forecast is how many late requests can start in the time to come.
+// forecast is how many late requests can start in the near future.
 type forecast struct {
 	at time.Time
-	// lateStarts is how many can in each step.
+	// lateStarts is the number of late requests that can start in each step.
 	lateStarts [forecastSteps]float64
 }
 
-// lateForecast returns how many late requests can start in the time to come: on places
-// that are free now, or with servers that come back, and on those that first requests do
-// not need at the rate at which they come now. Servers leave and come back as their
-// agents tell of swaps.
+// lateForecast returns how many late requests can start in the next steps: on slots that are free
+// now or on servers that return to service, and on slots that new requests do not need at their
+// current rate. Servers go out of service and return according to the swaps that their agents
+// report.
 func (d *Dispatcher) lateForecast(now time.Time) *forecast {
 	f := &d.forecast
 	if age := now.Sub(f.at); age >= 0 && age < forecastMaxAge {
 		return f
 	}
 	*f = forecast{at: now}
-	var places, empty [forecastSteps]int
+	var slots, idle [forecastSteps]int
 	// limited is the number of requests that rate-limited servers accept in each step.
 	var limited [forecastSteps]float64
 	for _, b := range d.backendList {
@@ -51,42 +50,43 @@
 			if bucket != nil {
 				free = min(free, bucket.available(now))
 			}
-			empty[0] += max(0, free)
+			idle[0] += max(0, free)
 		} else if step := int(to.Sub(now) / forecastStep); step < forecastSteps && bucket == nil {
-			empty[max(0, step)] += d.slots(b)
+			idle[max(0, step)] += d.slots(b)
 		}
-		for step := range places {
+		for step := range slots {
 			if middle := now.Add(forecastStep/2 + time.Duration(step)*forecastStep); middle.Before(from) || !middle.Before(to) {
 				if bucket != nil {
 					limited[step] += d.maxRate(b) * forecastStep.Seconds()
 				} else {
-					places[step] += d.slots(b)
+					slots[step] += d.slots(b)
 				}
 			}
 		}
 	}
-	first := d.newRequestSlots(now)
+	reserved := d.newRequestSlots(now)
 	for step := range f.lateStarts {
-		spare := float64(places[step]) - first
+		spare := float64(slots[step]) - reserved
 		freed := max(0, spare*forecastStep.Seconds()/d.typicalHoldTime.Seconds()+limited[step])
-		// So many begin at once, each for as long as an answer takes to begin.
-		most := max(0, spare)*forecastStep.Seconds()/max(minTTFB, d.ttfb).Seconds() + limited[step]
-		f.lateStarts[step] = min(most, freed+float64(empty[step]))
+		// Only as many requests as there are spare slots may await their first byte at a time, and
+		// each awaits it for the TTFB.
+		maxStarts := max(0, spare)*forecastStep.Seconds()/max(minTTFB, d.ttfb).Seconds() + limited[step]
+		f.lateStarts[step] = min(maxStarts, freed+float64(idle[step]))
 	}
 	return f
 }
 
-// outOfService returns from when to when a server takes nothing, as far as is known. What
-// is not known is taken to last as long again as it has lasted (Lindy's law): after a loss
-// of power all servers are back within a second or two, and one that has been away for a
-// minute is not waited for.
+// outOfService returns the period in which a server cannot run requests, as far as it is known. An
+// outage of unknown duration is assumed to last as long again as it has lasted (Lindy's law): after
+// a power failure all servers return within one or two seconds, and a server that has been away for
+// a minute is not waited for.
 func (d *Dispatcher) outOfService(b *backend, now time.Time) (from, to time.Time) {
 	switch {
 	case d.isSwapping(b, now):
 		return now, b.swapStart.Add(d.swapTime)
 	case b.isBackingOff(now):
-		// It may ask for rest again when this one is over; still more callers are served if late ones wait for that
-		// than if they are sent away at once.
+		// The server may request another backoff when this one ends. Even so, more callers are
+		// served if late requests wait for it than if they are rejected at once.
 		return now, b.backoffUntil
 	case !d.isEligible(b, now):
 		return now, now.Add(max(forecastStep, now.Sub(b.ineligibleSince)))
@@ -96,8 +96,8 @@
 	return time.Time{}, time.Time{}
 }
 
-// timeToStart returns after which time so many late requests have started; ok is false if that
-// is later than the forecast reaches.
+// timeToStart returns the time after which the given number of late requests has started; ok is
+// false if that is beyond the forecast.
 func (f *forecast) timeToStart(requests float64) (wait time.Duration, ok bool) {
 	for step, late := range f.lateStarts {
 		if late > 0 && requests <= late {
@@ -108,68 +108,71 @@
 	return 0, false
 }
 
-// isWorthQueueing reports whether a request is likely to get a place while an answer is still
-// of use: in time for its objective or, once that can't be met, before its caller leaves.
-func (d *Dispatcher) isWorthQueueing(ask *SlotRequest, now time.Time) bool {
-	if !ask.isLate(now) {
-		inTime := d.anyEligible(now) && !now.Add(d.expectedWait(ask, now)).After(ask.startBy)
-		if inTime || !ask.Retry && !ask.Resuming {
+// isWorthQueueing reports whether a request is likely to get a slot while a response is still
+// useful: in time for its objective or, if that cannot be met, before the caller's timeout.
+func (d *Dispatcher) isWorthQueueing(req *SlotRequest, now time.Time) bool {
+	if !req.isLate(now) {
+		inTime := d.anyEligible(now) && !now.Add(d.expectedWait(req, now)).After(req.startBy)
+		if inTime || !req.Retry && !req.Resuming {
 			return inTime
 		}
 	}
-	wait, ok := d.expectedLateWait(ask, now)
-	return ok && !now.Add(wait).After(d.latestStart(ask))
+	wait, ok := d.expectedLateWait(req, now)
+	return ok && !now.Add(wait).After(d.latestStart(req))
 }
 
-// latestStart is when a request that can't meet its objective must have started to be of use.
-func (d *Dispatcher) latestStart(ask *SlotRequest) time.Time {
-	latest := ask.Deadline.Add(-time.Duration(lateReserveRatio * float64(d.typicalHoldTime)))
-	if ask.CallerTimeout > 0 {
-		if leaves := ask.Arrived.Add(ask.CallerTimeout - callerTimeoutReserve); leaves.Before(latest) {
-			return leaves
+// latestStart returns the latest time at which a start of a late request is still useful.
+func (d *Dispatcher) latestStart(req *SlotRequest) time.Time {
+	latest := req.Deadline.Add(-time.Duration(lateReserveRatio * float64(d.typicalHoldTime)))
+	if req.CallerTimeout > 0 {
+		if timeout := req.Arrived.Add(req.CallerTimeout - callerTimeoutReserve); timeout.Before(latest) {
+			return timeout
 		}
 	}
 	return latest
 }
 
-// expectedWait returns how long a request that is in time waits for its place. Places go to
-// the boxes by how many such requests wait there, and a box keeps those that it gives back.
-func (d *Dispatcher) expectedWait(ask *SlotRequest, now time.Time) time.Duration {
+// expectedWait returns how long a request that is in time waits for a slot. Slots are allocated to
+// the boxes in proportion to such requests queued there, and a box keeps the slots that it
+// releases.
+func (d *Dispatcher) expectedWait(req *SlotRequest, now time.Time) time.Duration {
 	own, _ := d.queueCounts(now)
-	if !ask.queued {
+	if !req.queued {
 		own++
 	}
 	share := max(1/float64(d.boxes), float64(own)/float64(own+d.totalPeerDemand(now).InTime))
-	perSecond := d.currentCapacity(now).maxRate * share
-	if perSecond == 0 {
-		perSecond = share / d.typicalHoldTime.Seconds()
+	rate := d.currentCapacity(now).maxRate * share
+	if rate == 0 {
+		rate = share / d.typicalHoldTime.Seconds()
 	}
-	return time.Duration(float64(d.ahead(ask, now)+1) / perSecond * float64(time.Second))
+	return time.Duration(float64(d.ahead(req, now)+1) / rate * float64(time.Second))
 }
 
-// expectedLateWait returns how long a request that is late waits for its place, behind those
-// that wait elsewhere too. ok is false if it gets none in the foreseeable time.
-func (d *Dispatcher) expectedLateWait(ask *SlotRequest, now time.Time) (wait time.Duration, ok bool) {
-	return d.lateForecast(now).timeToStart(float64(d.ahead(ask, now) + d.totalPeerDemand(now).Late + 1))
+// expectedLateWait returns how long a late request waits for a slot, behind the late requests
+// queued at other boxes too. ok is false if it gets none within the forecast.
+func (d *Dispatcher) expectedLateWait(req *SlotRequest, now time.Time) (wait time.Duration, ok bool) {
+	return d.lateForecast(now).timeToStart(float64(d.ahead(req, now) + d.totalPeerDemand(now).Late + 1))
 }
 
-// totalSlots is how many places there are.
+// totalSlots returns the number of slots of all eligible servers.
 func (d *Dispatcher) totalSlots(now time.Time) int { return d.currentCapacity(now).slots }
 
-// newRequestSlots is how many places those need who come first, at the rate at which they
-// come (Little's law). Taken by late ones, they would be missing when the first ones come.
+// newRequestSlots returns the number of slots that new requests need at their current rate
+// (Little's law). Late requests must leave these slots free for the new requests
+// that follow.
 func (d *Dispatcher) newRequestSlots(now time.Time) float64 {
 	arrivals := d.arrivals.count(now) + d.totalPeerDemand(now).Arrivals
 	return float64(arrivals) * d.typicalHoldTime.Seconds() / rateWindow.Seconds()
 }
 
-// hasLateSlot reports whether one more late request may get a place. Places become free
-// as answers that have begun end; those that first requests need within the time that one
-// is held must be freed by then, so no more answers than the others may be beginning.
+// hasLateSlot reports whether one more late request may get a slot. A slot becomes free when a
+// response that has started ends. The slots that new requests need must all become free within the
+// typical hold time, so no more responses than there are other slots may be awaiting their first
+// byte.
 func (d *Dispatcher) hasLateSlot(now time.Time) bool {
-	beginning := len(d.awaiting) + d.totalPeerDemand(now).AwaitingFirstByte
+	awaiting := len(d.awaiting) + d.totalPeerDemand(now).AwaitingFirstByte
 	if d.newRequestSlots(now) >= d.currentCapacity(now).maxRate*d.typicalHoldTime.Seconds() {
 		return false
 	}
-	return float64(beginning+1) <= float64(d.totalSlots(now))-d.newRequestSlots(now)
+	return float64(awaiting+1) <= float64(d.totalSlots(now))-d.newRequestSlots(now)
 }
--- a/pkg/route/forecast_test.go
+++ b/pkg/route/forecast_test.go
@@ -11,22 +11,23 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// retry is a caller that was refused and can't be answered in time any more.
+// retry returns the request of a caller that was rejected before and can no longer meet its
+// objective.
 func (b *testDispatcher) retry() *SlotRequest {
 	now := b.clock.Now()
 	return &SlotRequest{Arrived: now, Objective: now.Add(-time.Second), Deadline: now.Add(4 * time.Second), Retry: true}
 }
 
-// submit asks for a place and reports whether the request waits for one.
-func (b *testDispatcher) submit(t *testing.T, ask *SlotRequest) (waits bool, err error) {
+// submit requests a slot and reports whether the request is queued.
+func (b *testDispatcher) submit(t *testing.T, req *SlotRequest) (waits bool, err error) {
 	t.Helper()
-	place, w, err := b.Submit(ask, func(*Reservation) {}, b.clock.Now())
-	require.Nil(t, place)
+	reservation, w, err := b.Submit(req, func(*Reservation) {}, b.clock.Now())
+	require.Nil(t, reservation)
 	return w != nil, err
 }
 
-// Late requests were held for two seconds while first ones took all places, and more than
-// half of them were refused all the same.
+// Late requests were queued for two seconds while new requests took all slots, and more than half
+// of them were rejected in the end.
 func TestLateRequestIsQueuedOnlyIfNewRequestsLeaveASlot(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 10, 1))
 	for range 10 {
@@ -35,16 +36,16 @@
 	b.clock.Advance(2 * rateWindow)
 	waits, err := b.submit(t, b.retry())
 	require.NoError(t, err)
-	require.True(t, waits, "ten places are free again within the second")
+	require.True(t, waits, "ten slots are free again within the second")
 	b.clock.Advance(forecastMaxAge)
 	b.UpdatePeerDemand("entry-2", Demand{Arrivals: 9, Late: 5}, b.clock.Now())
 	_, err = b.submit(t, b.retry())
 	var busy *BusyError
-	require.ErrorAs(t, err, &busy, "one place a second is left, six wait for it")
+	require.ErrorAs(t, err, &busy, "one slot a second is left, six requests wait for it")
 	b.clock.Advance(forecastMaxAge)
 	b.UpdatePeerDemand("entry-2", Demand{Arrivals: 11}, b.clock.Now())
 	_, err = b.submit(t, b.retry())
-	require.ErrorAs(t, err, &busy, "no place is left")
+	require.ErrorAs(t, err, &busy, "no slot is left")
 }
 
 func TestQueuedRequestIsRejectedWhenItCannotStartInTime(t *testing.T) {
@@ -53,13 +54,13 @@
 		b.acquire(t)
 	}
 	b.clock.Advance(2 * rateWindow)
-	place, w, err := b.Submit(b.retry(), func(*Reservation) {}, b.clock.Now())
+	reservation, w, err := b.Submit(b.retry(), func(*Reservation) {}, b.clock.Now())
 	require.NoError(t, err)
-	require.Nil(t, place)
-	again, waits, err := b.Review(w, b.clock.Now())
+	require.Nil(t, reservation)
+	next, waits, err := b.Review(w, b.clock.Now())
 	require.NoError(t, err)
 	require.True(t, waits)
-	require.Equal(t, reviewInterval, again.Sub(b.clock.Now()))
+	require.Equal(t, reviewInterval, next.Sub(b.clock.Now()))
 	b.clock.Advance(forecastMaxAge)
 	b.UpdatePeerDemand("entry-2", Demand{Arrivals: 20}, b.clock.Now())
 	_, waits, err = b.Review(w, b.clock.Now())
@@ -79,9 +80,9 @@
 func TestDemandCountsNewRequestsOfLastSecond(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 10, 1))
 	for range 30 {
-		place, err := b.Acquire(context.Background(), b.request(), b.clock)
+		reservation, err := b.Acquire(context.Background(), b.request(), b.clock)
 		require.NoError(t, err)
-		place.Release(ResultDone, b.clock.Now())
+		reservation.Release(ResultDone, b.clock.Now())
 		b.clock.Advance(100 * time.Millisecond)
 	}
 	require.Equal(t, 10, b.Demand(b.clock.Now()).Arrivals)
@@ -89,7 +90,7 @@
 	require.Zero(t, b.Demand(b.clock.Now()).Arrivals)
 }
 
-// While no server takes requests because all are being swapped, who comes back is held.
+// While no server is eligible because all are being swapped, retries are queued.
 func TestSwappingServersCountForRetries(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 4, 1))
 	b.UpdateServer("a", ServerState{Version: 1, Swapping: true}, b.clock.Now())
@@ -97,7 +98,7 @@
 	require.NoError(t, err)
 	require.True(t, waits)
 	_, err = b.submit(t, b.request())
-	require.ErrorIs(t, err, ErrNoServer, "one who comes first can come back")
+	require.ErrorIs(t, err, ErrNoServer, "a new request can be retried")
 	b.UpdateServer("a", ServerState{Silent: true}, b.clock.Now())
 	b.clock.Advance(4 * time.Second)
 	_, err = b.submit(t, b.retry())
@@ -105,51 +106,51 @@
 	require.Equal(t, 2*time.Second, RetryAfter(err, 6*time.Second))
 }
 
-// A box whose answers had begun late took every request for a late one, and got no place
-// that could have shown it better.
+// A box with a high mean time to first byte classified every request as late, and got no slot whose
+// response could have lowered the mean.
 func TestBoxWithHighMeanTTFBKeepsSendingRequests(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 4, 1))
 	b.ttfb, b.ttfbDeviation = 300*time.Millisecond, 200*time.Millisecond
 	for range 100 {
-		place := b.acquire(t)
+		reservation := b.acquire(t)
 		b.clock.Advance(20 * time.Millisecond)
-		place.Started(b.clock.Now())
-		place.Release(ResultDone, b.clock.Now())
+		reservation.Started(b.clock.Now())
+		reservation.Release(ResultDone, b.clock.Now())
 	}
 	require.Less(t, b.ttfb+b.ttfbDeviation, 100*time.Millisecond)
 }
 
-// After an outage late requests took all places in one go, and until their answers began
-// and ended there was none for those that came first.
+// After an outage late requests took all slots at once, and until their responses had started and
+// ended there was none for new requests.
 func TestLateRequestsUseOnlySlotsNotNeededByNewRequests(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 10, 1))
 	late := func() (*Reservation, error) {
-		ask := b.retry()
-		ask.NoWait = true
-		return b.Acquire(t.Context(), ask, b.clock)
+		req := b.retry()
+		req.NoWait = true
+		return b.Acquire(t.Context(), req, b.clock)
 	}
 	b.UpdatePeerDemand("entry-2", Demand{Arrivals: 7, AwaitingFirstByte: 1}, b.clock.Now())
-	place, err := late()
+	reservation, err := late()
 	require.NoError(t, err)
 	_, err = late()
 	require.NoError(t, err)
 	_, err = late()
-	require.Error(t, err, "7 first requests a second need 7 of 10 places, 3 answers are beginning")
+	require.Error(t, err, "7 new requests a second need 7 of 10 slots, 3 responses have not started")
 	require.Equal(t, 2, b.Demand(b.clock.Now()).AwaitingFirstByte)
 	b.acquire(t)
 	for range 2 {
-		place.Started(b.clock.Now())
+		reservation.Started(b.clock.Now())
 	}
 	require.Equal(t, 2, b.Demand(b.clock.Now()).AwaitingFirstByte)
 	b.UpdatePeerDemand("entry-2", Demand{Arrivals: 7}, b.clock.Now())
 	_, err = late()
 	require.NoError(t, err)
-	place.Release(ResultDone, b.clock.Now())
+	reservation.Release(ResultDone, b.clock.Now())
 	require.Equal(t, 3, b.Demand(b.clock.Now()).AwaitingFirstByte)
 }
 
-// Who came back while half of the servers were being swapped was refused for good, half a
-// second before they were back.
+// Retries that arrived while half of the servers were being swapped were rejected for good, half a
+// second before these servers returned.
 func TestLateRequestIsQueuedForServersBackInTime(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 10, 1), modelServer("b", 10, 1))
 	for range 20 {
@@ -159,18 +160,18 @@
 	b.UpdatePeerDemand("entry-2", Demand{Arrivals: 12}, b.clock.Now())
 	b.UpdateServer("a", ServerState{Version: 1, Swapping: true}, b.clock.Now())
 	b.UpdateServer("b", ServerState{Version: 2}, b.clock.Now())
-	ask := b.retry()
-	ask.CallerTimeout = 2 * time.Second
-	waits, err := b.submit(t, ask)
+	req := b.retry()
+	req.CallerTimeout = 2 * time.Second
+	waits, err := b.submit(t, req)
 	require.NoError(t, err)
-	require.True(t, waits, "one server is not enough for those who come first, two are")
-	ask = b.retry()
-	ask.CallerTimeout = defaultSwapTime
-	_, err = b.submit(t, ask)
-	require.Error(t, err, "it leaves before the other one is back")
+	require.True(t, waits, "one server is not enough for the new requests, two are")
+	req = b.retry()
+	req.CallerTimeout = defaultSwapTime
+	_, err = b.submit(t, req)
+	require.Error(t, err, "the caller times out before the other server returns")
 }
 
-// A server that is swapped soon is not there for those who come back then.
+// A server with a swap planned soon is not available to requests that arrive during the swap.
 func TestForecastIncludesPlannedSwap(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 10, 1))
 	now := b.clock.Now()
@@ -196,17 +197,17 @@
 	require.InDelta(t, 400, b.swapTime.Milliseconds(), 10)
 }
 
-// After a loss of power who came back was refused at once, a second before the servers had
-// their weights again.
+// After a power failure retries were rejected at once, a second before the servers had their
+// weights again.
 func TestForecastAssumesOutageLastsAsLongAgain(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 10, 0))
 	list := func() {
 		b.SetServers([]fleet.Server{modelServer("a", 10, 0)}, 0, func(member.FailureDomain) bool { return true }, b.clock.Now())
 	}
-	held := func(patience time.Duration) bool {
-		ask := b.retry()
-		ask.CallerTimeout = patience + callerTimeoutReserve
-		_, w, err := b.Submit(ask, func(*Reservation) {}, b.clock.Now())
+	isQueued := func(timeout time.Duration) bool {
+		req := b.retry()
+		req.CallerTimeout = timeout + callerTimeoutReserve
+		_, w, err := b.Submit(req, func(*Reservation) {}, b.clock.Now())
 		if w != nil {
 			require.True(t, b.Cancel(w))
 		}
@@ -215,30 +216,30 @@
 	}
 	b.clock.Advance(time.Second)
 	list()
-	require.True(t, held(1500*time.Millisecond))
-	require.False(t, held(900*time.Millisecond))
+	require.True(t, isQueued(1500*time.Millisecond))
+	require.False(t, isQueued(900*time.Millisecond))
 	b.clock.Advance(2 * time.Second)
 	list()
-	require.False(t, held(2*time.Second), "it has lasted three seconds")
+	require.False(t, isQueued(2*time.Second), "the outage has lasted three seconds")
 	b.UpdateServer("a", ServerState{Version: 1}, b.clock.Now())
 	require.True(t, b.backends["a"].ineligibleSince.IsZero())
 }
 
-// With every server reading one prompt, 35 late requests began in the time of one prompt
-// where 130 might have, and 500 were refused.
+// With one prompt in prefill at every server, 35 late requests started in the time of one prompt
+// where 130 could have, and 500 were rejected.
 func TestLateRequestLeavesHalfOfSlackToNewRequests(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 100, 1))
 	for range 100 {
-		place := b.acquire(t)
-		place.Started(b.clock.Now())
-		place.Release(ResultDone, b.clock.Now())
+		reservation := b.acquire(t)
+		reservation.Started(b.clock.Now())
+		reservation.Release(ResultDone, b.clock.Now())
 	}
 	require.Positive(t, b.slack)
 	b.clock.Advance(2 * rateWindow)
-	late := func(reading time.Duration) error {
-		ask := b.retry()
-		ask.NoWait, ask.Prefill = true, reading
-		_, err := b.Acquire(t.Context(), ask, b.clock)
+	late := func(prefill time.Duration) error {
+		req := b.retry()
+		req.NoWait, req.Prefill = true, prefill
+		_, err := b.Acquire(t.Context(), req, b.clock)
 		return err
 	}
 	for range 100 {
@@ -247,5 +248,5 @@
 		}
 	}
 	require.InDelta(t, b.slack/2, b.OwnLoad()["a"].Prefill, float64(20*time.Millisecond))
-	require.Error(t, late(b.slack), "it would take all that they have to spare")
+	require.Error(t, late(b.slack), "the request would use up the slack of new requests")
 }
--- a/pkg/route/incarnation_test.go
+++ b/pkg/route/incarnation_test.go
@@ -23,13 +23,13 @@
 
 func allLocal(member.FailureDomain) bool { return true }
 
-// A server that had started again under its id was believed to hold the weights, and to
-// have in flight the requests, of the start before.
+// A server that had restarted under the same ID was assumed to have the weights and the requests in
+// flight of its earlier incarnation.
 func TestStateOfEarlierIncarnationIsDiscarded(t *testing.T) {
 	now := time.Unix(100, 0)
 	for name, restart := range map[string]func(d *Dispatcher){
-		"told by its agent": func(d *Dispatcher) { d.UpdateServer("a", ServerState{Incarnation: 6}, now) },
-		"told by the list": func(d *Dispatcher) {
+		"reported by agent": func(d *Dispatcher) { d.UpdateServer("a", ServerState{Incarnation: 6}, now) },
+		"reported by list": func(d *Dispatcher) {
 			server := serverWithIncarnation(6)
 			server.Models = nil
 			d.SetServers([]fleet.Server{server}, 0, allLocal, now)
@@ -39,35 +39,35 @@
 			d := newEngineDispatcher()
 			d.SetServers([]fleet.Server{serverWithIncarnation(5)}, 0, allLocal, now)
 			d.UpdateServer("a", ServerState{Incarnation: 5, Version: 1, Swapping: false}, now)
-			ask := &SlotRequest{Objective: now.Add(time.Second), Deadline: now.Add(6 * time.Second)}
-			place, _, err := d.Submit(ask, nil, now)
+			req := &SlotRequest{Objective: now.Add(time.Second), Deadline: now.Add(6 * time.Second)}
+			reservation, _, err := d.Submit(req, nil, now)
 			require.NoError(t, err)
 			require.Equal(t, 1, d.OwnLoad()["a"].Requests)
 
 			restart(d)
-			require.Zero(t, d.OwnLoad()["a"].Requests, "what ran there is gone")
+			require.Zero(t, d.OwnLoad()["a"].Requests, "requests of the earlier incarnation do not count")
 			_, _, err = d.Submit(&SlotRequest{Objective: now.Add(time.Second), Deadline: now.Add(6 * time.Second)}, nil, now)
-			require.ErrorIs(t, err, ErrNoServer, "it holds no weights")
-			place.Release(ResultFailed, now)
+			require.ErrorIs(t, err, ErrNoServer, "the server has no weights")
+			reservation.Release(ResultFailed, now)
 
 			d.UpdateServer("a", ServerState{Incarnation: 5, Version: 1}, now)
 			_, _, err = d.Submit(&SlotRequest{Objective: now.Add(time.Second), Deadline: now.Add(6 * time.Second)}, nil, now)
-			require.ErrorIs(t, err, ErrNoServer, "what is told of the start before comes too late")
+			require.ErrorIs(t, err, ErrNoServer, "a report about the earlier incarnation is ignored")
 			d.SetServers([]fleet.Server{serverWithIncarnation(5)}, 0, allLocal, now.Add(2*serverStatusMaxAge))
 			_, _, err = d.Submit(&SlotRequest{Objective: now.Add(time.Hour), Deadline: now.Add(time.Hour)}, nil, now.Add(2*serverStatusMaxAge))
-			require.ErrorIs(t, err, ErrNoServer, "so does a list of before")
+			require.ErrorIs(t, err, ErrNoServer, "a list with the earlier incarnation is ignored")
 
 			d.UpdateServer("a", ServerState{Incarnation: 6, Version: 1}, now)
 			second, _, err := d.Submit(&SlotRequest{Objective: now.Add(time.Second), Deadline: now.Add(6 * time.Second)}, nil, now)
 			require.NoError(t, err)
-			require.Equal(t, 1, d.OwnLoad()["a"].Requests, "ending the first changed nothing")
+			require.Equal(t, 1, d.OwnLoad()["a"].Requests, "releasing the first reservation changed nothing")
 			second.Release(ResultDone, now)
 			require.Zero(t, d.OwnLoad()["a"].Requests)
 		})
 	}
 }
 
-// Platforms that do not tell starts, and agents that do, go together.
+// A platform that does not report incarnations can be used with agents that do.
 func TestAgentMayReportIncarnationThatListLacks(t *testing.T) {
 	now := time.Unix(100, 0)
 	d := newEngineDispatcher()
--- a/pkg/route/peerload.go
+++ b/pkg/route/peerload.go
@@ -7,42 +7,42 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// peerLoadMaxAge is how long the load that another entry box told counts. It is
-// several of the intervals at which they tell it.
+// peerLoadMaxAge is the maximum age of the load that another entry box reported. It is several
+// times the interval of the reports.
 const peerLoadMaxAge = 1500 * time.Millisecond
 
-// peerLoadRetention is for how long after a box's last word it is kept what it told: the stream that tells only changes has ended well
-// before, and the next one begins with the whole.
+// peerLoadRetention is how long the load of a box is kept after its last report. By then a stream
+// that reports only changes has ended, and the next stream starts with a full report.
 const peerLoadRetention = time.Minute
 
 // ServerLoad is what entry boxes have in flight at one server.
 type ServerLoad struct {
 	Requests int
-	// Prefill is how long the server takes to read the requests whose answers have
-	// not begun.
+	// Prefill is the total prefill time of the requests whose responses have not started.
 	Prefill time.Duration
-	// Sent is the number of requests sent since the box learned of the server's rate limit; 0 if there is no limit.
+	// Sent is the number of requests sent since the box first received the server's rate limit; 0 if
+	// there is no limit.
 	Sent uint32
 }
 
 // Load is what one entry box has in flight at each server.
 type Load map[fleet.ServerID]ServerLoad
 
-// peerLoad is what another entry box told last, and when.
+// peerLoad is the load that another entry box last reported, and when.
 type peerLoad struct {
 	load Load
 	at   time.Time
-	// expired is set while it does not count, as the box was not heard for long. Its next word may tell only what has
-	// changed.
+	// expired is set while the load does not count because the last report is too old. The load is
+	// kept, because the next report may contain only changes.
 	expired bool
 }
 
-// peerLoads keeps what the other entry boxes have in flight, and the sums, so that
-// choosing a server does not add them up each time.
+// peerLoads holds the loads of the other entry boxes and their sums, so that the choice of a server
+// need not add them up.
 type peerLoads struct {
 	boxes map[member.BoxID]*peerLoad
 	sums  Load
-	// oldest is when the oldest of them was told, or before.
+	// oldest is a lower bound of the time of the oldest report.
 	oldest time.Time
 }
 
@@ -50,13 +50,13 @@
 	return &peerLoads{boxes: make(map[member.BoxID]*peerLoad), sums: make(Load)}
 }
 
-// merge notes what a box has in flight: at the servers that are named, or, if whole
-// is set, at these and no others.
-func (p *peerLoads) merge(box member.BoxID, told Load, whole bool, now time.Time) {
+// merge records the load of a box. If full is set, the report covers all servers; otherwise it
+// covers only those that changed.
+func (p *peerLoads) merge(box member.BoxID, report Load, full bool, now time.Time) {
 	known := p.boxes[box]
 	switch {
-	case known == nil && !whole:
-		// The first word of a box is whole; what comes before it is of no use.
+	case known == nil && !full:
+		// The first report of a box is a full one; changes that arrive before it cannot be applied.
 		return
 	case known == nil:
 		known = &peerLoad{load: make(Load)}
@@ -71,19 +71,19 @@
 			p.addToSum(id, load, 1)
 		}
 	}
-	if whole {
+	if full {
 		for id := range known.load {
-			if _, stays := told[id]; !stays {
+			if _, reported := report[id]; !reported {
 				p.set(known, id, ServerLoad{})
 			}
 		}
 	}
-	for id, load := range told {
+	for id, load := range report {
 		p.set(known, id, load)
 	}
 }
 
-// set changes what one box has in flight at one server, and the sum.
+// set changes the load of one box at one server, and the sum.
 func (p *peerLoads) set(box *peerLoad, id fleet.ServerID, load ServerLoad) {
 	p.addToSum(id, box.load[id], -1)
 	p.addToSum(id, load, 1)
@@ -92,7 +92,7 @@
 	}
 }
 
-// addToSum adds a load to the sum, or takes it out.
+// addToSum adds a load to the sum, or subtracts it if sign is -1.
 func (p *peerLoads) addToSum(id fleet.ServerID, load ServerLoad, sign int) {
 	sum := p.sums[id]
 	sum.Requests += sign * load.Requests
@@ -102,7 +102,8 @@
 	}
 }
 
-// expire leaves out the boxes that have told nothing for long.
+// expire excludes the boxes whose last report is older than peerLoadMaxAge from the sums, and
+// deletes those older than peerLoadRetention.
 func (p *peerLoads) expire(now time.Time) {
 	if now.Sub(p.oldest) < peerLoadMaxAge {
 		return
--- a/pkg/route/peerload_test.go
+++ b/pkg/route/peerload_test.go
@@ -13,13 +13,13 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// drawLoad draws what a box has in flight, nothing at some servers.
+// drawLoad draws the load of a box, which has no requests at some servers.
 func drawLoad(t *rapid.T) Load {
 	load := make(Load)
 	for _, id := range []fleet.ServerID{"a", "b", "c"} {
-		if rapid.Bool().Draw(t, "named") {
+		if rapid.Bool().Draw(t, "has requests") {
 			load[id] = ServerLoad{
-				Requests: rapid.IntRange(0, 5).Draw(t, "requests"), Prefill: time.Duration(rapid.IntRange(0, 99).Draw(t, "reading")) * time.Millisecond,
+				Requests: rapid.IntRange(0, 5).Draw(t, "requests"), Prefill: time.Duration(rapid.IntRange(0, 99).Draw(t, "prefill")) * time.Millisecond,
 			}
 		}
 	}
@@ -33,13 +33,13 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			box := member.BoxID(fmt.Sprint(rapid.IntRange(1, 3).Draw(t, "box")))
-			told, whole := drawLoad(t), rapid.Bool().Draw(t, "whole")
+			report, full := drawLoad(t), rapid.Bool().Draw(t, "full")
 			peers.expire(now)
-			peers.merge(box, told, whole, now)
-			if whole {
-				want[box] = &peerLoad{load: maps.Clone(told), at: now}
+			peers.merge(box, report, full, now)
+			if full {
+				want[box] = &peerLoad{load: maps.Clone(report), at: now}
 			} else if known := want[box]; known != nil {
-				maps.Copy(known.load, told)
+				maps.Copy(known.load, report)
 				known.at = now
 			}
 			sums := make(Load)
@@ -62,7 +62,7 @@
 	})
 }
 
-// Without it, a server that reads the long prompts of another box seemed free.
+// Without the reported prefill, a server busy with the long prompts of another box seemed free.
 func TestPrefillOfPeerRequestsCountsUntilFirstByte(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 16, 1), modelServer("b", 16, 1))
 	b.UpdatePeerLoad("entry-2", Load{"a": {Requests: 1, Prefill: 2 * prefillScale}}, true, b.clock.Now())
@@ -75,36 +75,37 @@
 
 func TestPrefillCountsUntilFirstByte(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 16, 1))
-	ask := b.request()
-	ask.Prefill = 30 * time.Millisecond
-	place, err := b.Acquire(t.Context(), ask, b.clock)
+	req := b.request()
+	req.Prefill = 30 * time.Millisecond
+	reservation, err := b.Acquire(t.Context(), req, b.clock)
 	require.NoError(t, err)
 	require.Equal(t, Load{"a": {Requests: 1, Prefill: 30 * time.Millisecond}}, b.OwnLoad())
-	place.Started(b.clock.Now())
-	place.Started(b.clock.Now())
+	reservation.Started(b.clock.Now())
+	reservation.Started(b.clock.Now())
 	require.Equal(t, Load{"a": {Requests: 1}}, b.OwnLoad())
-	place.Release(ResultDone, b.clock.Now())
+	reservation.Release(ResultDone, b.clock.Now())
 	require.Empty(t, b.OwnLoad())
 }
 
-// While boxes were cut off from each other, each filled the servers as if the others sent
-// nothing: of what servers told beyond what was claimed, four requests were put down to age.
+// Boxes that could not reach each other each filled the servers as if the others sent nothing: up
+// to four requests that a server reported beyond those claimed were attributed to old reports.
 func TestUnclaimedRequestsOfServerCount(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 16, 1))
 	b.UpdatePeerLoad("entry-2", Load{"a": {Requests: 5}}, true, b.clock.Now())
 	for range 8 {
 		b.UpdateServer("a", ServerState{Version: 1, Running: 8}, b.clock.Now())
 	}
-	require.Equal(t, 7, b.load(b.backends["a"], b.clock.Now()).Requests, "a part of a request is not one")
+	require.Equal(t, 7, b.load(b.backends["a"], b.clock.Now()).Requests, "a fraction of a request does not count")
 	b.UpdateServer("a", ServerState{Version: 1, Running: 4}, b.clock.Now())
-	require.Equal(t, 5, b.load(b.backends["a"], b.clock.Now()).Requests, "what is claimed counts in any case")
+	require.Equal(t, 5, b.load(b.backends["a"], b.clock.Now()).Requests, "claimed requests always count")
 	b.clock.Advance(serverStatusMaxAge)
 	b.UpdatePeerLoad("entry-2", Load{"a": {Requests: 5}}, true, b.clock.Now())
 	require.Equal(t, 5, b.load(b.backends["a"], b.clock.Now()).Requests)
 }
 
-// After a box had stood still for two seconds it took servers for empty that others had filled: what these had told was forgotten as it
-// woke, and the messages that lay there by then tell only what has changed.
+// After a stall of two seconds a box considered servers empty that other boxes had filled: it
+// discarded their expired reports when it resumed, and the messages queued by then contained only
+// changes.
 func TestExpiredPeerLoadIsRestoredByNextReport(t *testing.T) {
 	now := time.Unix(1000, 0)
 	peers := newPeerLoads()
@@ -116,7 +117,8 @@
 	require.Equal(t, Load{"a": {Requests: 3}, "b": {Requests: 1}}, peers.sums)
 }
 
-// Boxes that did not know what others had in flight went by the agents' reports for hours, and nothing showed it.
+// Boxes that lacked the load reports of others relied on the agents' reports for hours, and no
+// metric showed it.
 func TestUnclaimedIsSumOverServers(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 16, 1), modelServer("b", 16, 1))
 	report := func(running int) {
@@ -125,14 +127,14 @@
 		}
 	}
 	report(7)
-	require.Equal(t, 6, b.Unclaimed(b.clock.Now()), "seven, but for what is smoothed")
+	require.Equal(t, 6, b.Unclaimed(b.clock.Now()), "the moving average is just below seven")
 	b.UpdatePeerLoad("entry-2", Load{"a": {Requests: 7}}, true, b.clock.Now())
 	report(7)
 	require.Zero(t, b.Unclaimed(b.clock.Now()))
 	report(5)
-	require.Zero(t, b.Unclaimed(b.clock.Now()), "what has just ended there is no one else's")
+	require.Zero(t, b.Unclaimed(b.clock.Now()), "requests that have just ended are not counted as negative")
 	report(9)
 	require.Equal(t, 1, b.Unclaimed(b.clock.Now()))
 	b.clock.Advance(serverStatusMaxAge)
-	require.Zero(t, b.Unclaimed(b.clock.Now()), "its agent is not heard")
+	require.Zero(t, b.Unclaimed(b.clock.Now()), "the agent's report has expired")
 }
--- a/pkg/route/queue.go
+++ b/pkg/route/queue.go
@@ -13,151 +13,155 @@
 )
 
 const (
-	// lateReserveRatio is what must be left of a queued request's time for an answer
-	// to be worth starting, as a part of the usual time that one takes.
+	// lateReserveRatio is the minimum time that must remain after the start of a late request, as a
+	// ratio of the typical time that a request holds its slot.
 	lateReserveRatio = 0.5
-	// callerTimeoutReserve is how long before a caller leaves its request must have started.
+	// callerTimeoutReserve is how long before the caller's timeout a request must have started.
 	callerTimeoutReserve = 300 * time.Millisecond
-	// reviewInterval is how often the chances of a waiting request are estimated anew.
+	// reviewInterval is the interval at which the expected wait of a queued request is estimated
+	// again.
 	reviewInterval = 100 * time.Millisecond
 )
 
-// BusyError reports that the request could not start in time, and what that was decided by.
+// BusyError reports that a request could not start in time, with the state that led to the
+// decision.
 type BusyError struct {
-	// Waiting is how many requests were queued here, PeerWaiting how many late ones at
+	// Waiting is the number of requests queued here, PeerWaiting that of late requests queued at
 	// other entry boxes.
 	Waiting, PeerWaiting int
-	// Late is set if the request could not meet its objective any more; Left is how long a
-	// start would still have been of use.
+	// Late is set if the request could no longer meet its objective. TimeLeft is how much longer a
+	// start would still have been useful.
 	Late     bool
 	TimeLeft time.Duration
-	// Slots is how many places there were, Needed how many of them those need who come
-	// first, Beginning how many answers were to begin.
+	// Slots is the number of slots, NewRequestSlots how many of them new requests need, and
+	// AwaitingFirstByte the number of requests whose responses have not started.
 	Slots             int
 	NewRequestSlots   float64
 	AwaitingFirstByte int
-	// BackingOff is how many servers have asked this box for rest.
+	// BackingOff is the number of servers that requested a backoff from this box.
 	BackingOff int
 	// Limited is the number of eligible servers if all of them have a rate limit; 0 otherwise.
 	Limited int
-	// RetryAfter is when there should be room.
+	// RetryAfter is the time after which a slot is expected to be free.
 	RetryAfter time.Duration
 }
 
-// Error says how many requests wait.
+// Error returns the number of queued requests, the number of slots and the time to retry after.
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("%d requests wait for %d places, room in about %v", e.Waiting, e.Slots, e.RetryAfter)
+	return fmt.Sprintf("%d requests are queued for %d slots, retry in about %v", e.Waiting, e.Slots, e.RetryAfter)
 }
 
-// RetryAfter returns when a refused caller should come back: when there should be room,
-// or, where no server could run the request, as late as callers may be told to.
-func RetryAfter(refusal error, left time.Duration) time.Duration {
+// RetryAfter returns how long a rejected caller should wait before it retries. This is the time of
+// a BusyError or, if no server could run the request, the longest that is allowed for the time
+// remaining until the caller's deadline.
+func RetryAfter(err error, remaining time.Duration) time.Duration {
 	var busy *BusyError
-	if errors.As(refusal, &busy) {
+	if errors.As(err, &busy) {
 		return busy.RetryAfter
 	}
-	return max(minRetryAfter, left/maxRetryAfterDivisor)
+	return max(minRetryAfter, remaining/maxRetryAfterDivisor)
 }
 
-// QueuedRequest is a request that waits for a place.
+// QueuedRequest is a request that waits for a slot.
 type QueuedRequest struct {
 	req *SlotRequest
-	// onGranted is called with the place; the dispatcher is locked meanwhile.
+	// onGranted is called with the reservation while the dispatcher is locked.
 	onGranted func(*Reservation)
 }
 
-// Submit decides about a request. It gets a place at once, or waits until granted is
-// called, or is refused. One that waits has to be reviewed by the time that Review
-// tells, at first within reviewInterval. Errors are a *BusyError or wrap ErrNoServer.
-func (d *Dispatcher) Submit(ask *SlotRequest, granted func(*Reservation), now time.Time) (*Reservation, *QueuedRequest, error) {
+// Submit reserves a slot for a request, queues the request or rejects it. For a queued request,
+// onGranted is called with the reservation once there is one. Review must be called for it within
+// reviewInterval, and then at the times that Review returns. Errors are a *BusyError or wrap
+// ErrNoServer.
+func (d *Dispatcher) Submit(req *SlotRequest, onGranted func(*Reservation), now time.Time) (*Reservation, *QueuedRequest, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	ask.startBy = d.startBy(ask, now)
-	if !ask.Retry && !ask.Resuming && !ask.NoWait {
+	req.startBy = d.startBy(req, now)
+	if !req.Retry && !req.Resuming && !req.NoWait {
 		d.arrivals.add(now)
-		d.slack += time.Duration(ttfbSmoothing * float64(ask.startBy.Sub(now)-d.slack))
+		d.slack += time.Duration(ttfbSmoothing * float64(req.startBy.Sub(now)-d.slack))
 	}
-	if len(d.queue) == 0 || d.ahead(ask, now) == 0 {
-		if place := d.choose(ask, nil, now); place != nil {
-			return place, nil, nil
+	if len(d.queue) == 0 || d.ahead(req, now) == 0 {
+		if reservation := d.choose(req, nil, now); reservation != nil {
+			return reservation, nil, nil
 		}
 	}
-	if ask.NoWait || !d.isWorthQueueing(ask, now) {
-		return nil, nil, d.rejection(ask, now)
+	if req.NoWait || !d.isWorthQueueing(req, now) {
+		return nil, nil, d.rejection(req, now)
 	}
-	w := &QueuedRequest{req: ask, onGranted: granted}
-	d.enqueue(w)
-	return nil, w, nil
+	queued := &QueuedRequest{req: req, onGranted: onGranted}
+	d.enqueue(queued)
+	return nil, queued, nil
 }
 
-// startBy returns when a request must start to meet its objective, as far as answers took
-// to begin lately. One that comes for the first time is in time when it comes: otherwise
-// a box that has seen answers begin late would send none that could show it better.
-func (d *Dispatcher) startBy(ask *SlotRequest, now time.Time) time.Time {
-	startBy := ask.Objective.Add(-d.ttfb - d.ttfbDeviation - ask.Prefill)
-	if !ask.Retry && startBy.Before(now) && ask.Objective.After(now) {
+// startBy returns when a request must start to meet its objective, given the recent times to first
+// byte. A new request counts as in time on arrival: otherwise a box whose recent responses started
+// late would stop sending requests, and its estimate could not improve.
+func (d *Dispatcher) startBy(req *SlotRequest, now time.Time) time.Time {
+	startBy := req.Objective.Add(-d.ttfb - d.ttfbDeviation - req.Prefill)
+	if !req.Retry && startBy.Before(now) && req.Objective.After(now) {
 		return now
 	}
 	return startBy
 }
 
-// Review estimates anew whether a waiting request will get a place in time, and refuses
-// it if not. It returns when to ask again; ok is false if it waits no longer.
-func (d *Dispatcher) Review(w *QueuedRequest, now time.Time) (again time.Time, ok bool, err error) {
+// Review estimates again whether a queued request will get a slot in time, and rejects it if not.
+// It returns the time of the next review; ok is false if the request is no longer queued.
+func (d *Dispatcher) Review(queued *QueuedRequest, now time.Time) (next time.Time, ok bool, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.grant(nil, now)
-	at := slices.Index(d.queue, w)
-	if at < 0 {
+	i := slices.Index(d.queue, queued)
+	if i < 0 {
 		return time.Time{}, false, nil
 	}
-	if !d.isWorthQueueing(w.req, now) {
-		d.dequeue(at)
-		return time.Time{}, false, d.rejection(w.req, now)
+	if !d.isWorthQueueing(queued.req, now) {
+		d.dequeue(i)
+		return time.Time{}, false, d.rejection(queued.req, now)
 	}
-	again = now.Add(reviewInterval)
-	if startBy := w.req.startBy; startBy.After(now) && startBy.Before(again) {
-		again = startBy
+	next = now.Add(reviewInterval)
+	if startBy := queued.req.startBy; startBy.After(now) && startBy.Before(next) {
+		next = startBy
 	}
-	return again, true, nil
+	return next, true, nil
 }
 
-// Cancel takes a request out of the queue whose caller has left; false if it has been
-// granted a place or refused meanwhile.
-func (d *Dispatcher) Cancel(w *QueuedRequest) bool {
+// Cancel removes a request from the queue because its caller disconnected. It returns false if the
+// request has been granted a slot or rejected in the meantime.
+func (d *Dispatcher) Cancel(queued *QueuedRequest) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	at := slices.Index(d.queue, w)
-	if at < 0 {
+	i := slices.Index(d.queue, queued)
+	if i < 0 {
 		return false
 	}
-	d.dequeue(at)
+	d.dequeue(i)
 	return true
 }
 
-// Acquire returns a place, waiting for one while the request can still start in
-// time. Errors are a *BusyError, wrap ErrNoServer, or are the context's.
-func (d *Dispatcher) Acquire(ctx context.Context, ask *SlotRequest, clock clockwork.Clock) (*Reservation, error) {
+// Acquire reserves a slot, and waits for one as long as the request can still start in time. Errors
+// are a *BusyError, wrap ErrNoServer, or are those of ctx.
+func (d *Dispatcher) Acquire(ctx context.Context, req *SlotRequest, clock clockwork.Clock) (*Reservation, error) {
 	granted := make(chan *Reservation, 1)
-	place, w, err := d.Submit(ask, func(place *Reservation) { granted <- place }, clock.Now())
-	if w == nil {
-		return place, err
+	reservation, queued, err := d.Submit(req, func(reservation *Reservation) { granted <- reservation }, clock.Now())
+	if queued == nil {
+		return reservation, err
 	}
-	again, waits, err := d.Review(w, clock.Now())
-	for waits {
-		timer := clock.NewTimer(clock.Until(again))
+	next, waiting, err := d.Review(queued, clock.Now())
+	for waiting {
+		timer := clock.NewTimer(clock.Until(next))
 		select {
-		case place = <-granted:
+		case reservation = <-granted:
 			timer.Stop()
-			return place, nil
+			return reservation, nil
 		case <-ctx.Done():
 			timer.Stop()
-			if !d.Cancel(w) {
+			if !d.Cancel(queued) {
 				(<-granted).Release(ResultAbandoned, clock.Now())
 			}
 			return nil, ctx.Err()
 		case <-timer.Chan():
-			again, waits, err = d.Review(w, clock.Now())
+			next, waiting, err = d.Review(queued, clock.Now())
 		}
 	}
 	if err != nil {
@@ -166,68 +170,69 @@
 	return <-granted, nil
 }
 
-// rejection says why a request is not let in.
-func (d *Dispatcher) rejection(ask *SlotRequest, now time.Time) error {
+// rejection returns the error for a request that is rejected.
+func (d *Dispatcher) rejection(req *SlotRequest, now time.Time) error {
 	if !d.anyEligible(now) && d.backingOff(now).servers == 0 {
 		return ErrNoServer
 	}
-	return d.busyError(ask, now)
+	return d.busyError(req, now)
 }
 
-// busyError says when a refused request should come back: when those are served that wait and
-// those that were told to come back before. Told the same time, they would come back
-// together and be refused for good.
-func (d *Dispatcher) busyError(ask *SlotRequest, now time.Time) error {
-	longest := max(minRetryAfter, ask.Deadline.Sub(now)/maxRetryAfterDivisor)
-	wait := longest
-	if room, ok := d.lateForecast(now).timeToStart(float64(d.scheduledRetries.count(now)*d.boxes + d.lateAtAllBoxes(now) + 1)); ok {
-		wait = min(longest, max(minRetryAfter, room))
+// busyError returns a BusyError whose RetryAfter allows for the queued requests and for the retries
+// that are already scheduled. Callers with the same time would retry together, and most would be
+// rejected for good.
+func (d *Dispatcher) busyError(req *SlotRequest, now time.Time) error {
+	maxWait := max(minRetryAfter, req.Deadline.Sub(now)/maxRetryAfterDivisor)
+	wait := maxWait
+	if untilFree, ok := d.lateForecast(now).timeToStart(float64(d.scheduledRetries.count(now)*d.boxes + d.lateAtAllBoxes(now) + 1)); ok {
+		wait = min(maxWait, max(minRetryAfter, untilFree))
 	}
-	comes, resting := wait, d.backingOff(now)
-	if rested, ok := d.retryAfterBackoff(resting, now); ok {
-		// Sooner is in vain. Callers who can't wait for as long come when they must.
-		wait = max(minRetryAfter, rested)
-		comes, longest = min(wait, longest), math.MaxInt64
+	retryIn, backingOff := wait, d.backingOff(now)
+	if afterBackoff, ok := d.retryAfterBackoff(backingOff, now); ok {
+		// An earlier retry would fail. Callers that cannot wait this long retry before their
+		// timeout.
+		wait = max(minRetryAfter, afterBackoff)
+		retryIn, maxWait = min(wait, maxWait), math.MaxInt64
 	}
-	if !ask.Retry && !ask.Resuming && !ask.NoWait {
-		d.scheduledRetries.add(now.Add(comes))
+	if !req.Retry && !req.Resuming && !req.NoWait {
+		d.scheduledRetries.add(now.Add(retryIn))
 	}
 	jitter := time.Duration(d.random() * float64(minRetryAfter))
-	peers, left := d.totalPeerDemand(now), d.latestStart(ask).Sub(now)
-	if !ask.isLate(now) {
-		left = ask.startBy.Sub(now)
+	peerDemand, remaining := d.totalPeerDemand(now), d.latestStart(req).Sub(now)
+	if !req.isLate(now) {
+		remaining = req.startBy.Sub(now)
 	}
 	return &BusyError{
-		Waiting: len(d.queue), PeerWaiting: peers.Late, Late: ask.isLate(now), TimeLeft: left,
-		Slots: d.totalSlots(now), NewRequestSlots: d.newRequestSlots(now), AwaitingFirstByte: len(d.awaiting) + peers.AwaitingFirstByte, BackingOff: resting.servers,
+		Waiting: len(d.queue), PeerWaiting: peerDemand.Late, Late: req.isLate(now), TimeLeft: remaining,
+		Slots: d.totalSlots(now), NewRequestSlots: d.newRequestSlots(now), AwaitingFirstByte: len(d.awaiting) + peerDemand.AwaitingFirstByte, BackingOff: backingOff.servers,
 		Limited:    d.limitedEligible(now),
-		RetryAfter: min(wait+jitter, longest),
+		RetryAfter: min(wait+jitter, maxWait),
 	}
 }
 
-// lateAtAllBoxes is how many late requests wait, at all entry boxes.
+// lateAtAllBoxes returns the number of late requests queued at all entry boxes.
 func (d *Dispatcher) lateAtAllBoxes(now time.Time) int {
 	_, late := d.queueCounts(now)
 	return late + d.totalPeerDemand(now).Late
 }
 
-// scheduledRetries are the times at which callers were told to come back, the soonest first.
+// scheduledRetries are the times at which rejected callers were told to retry, in ascending order.
 type scheduledRetries []time.Time
 
-func (p *scheduledRetries) add(at time.Time) {
-	place, _ := slices.BinarySearchFunc(*p, at, time.Time.Compare)
-	*p = slices.Insert(*p, place, at)
+func (s *scheduledRetries) add(at time.Time) {
+	i, _ := slices.BinarySearchFunc(*s, at, time.Time.Compare)
+	*s = slices.Insert(*s, i, at)
 }
 
-// count returns how many are to come back after a time, and forgets the others.
-func (p *scheduledRetries) count(now time.Time) int {
-	past, _ := slices.BinarySearchFunc(*p, now, time.Time.Compare)
-	*p = slices.Delete(*p, 0, past)
-	return len(*p)
+// count returns the number of retries scheduled after now, and removes the others.
+func (s *scheduledRetries) count(now time.Time) int {
+	expired, _ := slices.BinarySearchFunc(*s, now, time.Time.Compare)
+	*s = slices.Delete(*s, 0, expired)
+	return len(*s)
 }
 
-// hasPrecedence orders the queue: the more urgent first, then those that must start
-// earlier.
+// hasPrecedence orders the queue by priority, the most urgent first, then by the time by which the
+// requests must start.
 func hasPrecedence(a, b *SlotRequest) bool {
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
@@ -235,65 +240,65 @@
 	return a.startBy.Before(b.startBy)
 }
 
-func (d *Dispatcher) enqueue(w *QueuedRequest) {
-	at, _ := slices.BinarySearchFunc(d.queue, w.req, func(other *QueuedRequest, ask *SlotRequest) int {
-		if hasPrecedence(ask, other.req) {
+func (d *Dispatcher) enqueue(queued *QueuedRequest) {
+	i, _ := slices.BinarySearchFunc(d.queue, queued.req, func(other *QueuedRequest, req *SlotRequest) int {
+		if hasPrecedence(req, other.req) {
 			return 1
 		}
 		return -1
 	})
-	d.queue = slices.Insert(d.queue, at, w)
-	w.req.queued = true
+	d.queue = slices.Insert(d.queue, i, queued)
+	queued.req.queued = true
 }
 
-// dequeue takes the request at a place out of the queue.
-func (d *Dispatcher) dequeue(at int) {
-	d.queue[at].req.queued = false
-	d.queue = slices.Delete(d.queue, at, at+1)
+// dequeue removes the request at index i from the queue.
+func (d *Dispatcher) dequeue(i int) {
+	d.queue[i].req.queued = false
+	d.queue = slices.Delete(d.queue, i, i+1)
 }
 
-// priorityRange is where the requests of one priority stand in the queue: the late ones from
-// start to inTime, those in time from there to end.
+// priorityRange is the range of the queue that holds the requests of one priority: late ones from
+// start to inTime, those in time from inTime to end.
 type priorityRange struct{ priority, start, inTime, end int }
 
-// eachPriority calls yield for each priority that waits, the most urgent first.
-func (d *Dispatcher) eachPriority(now time.Time, yield func(g priorityRange)) {
+// eachPriority calls yield for each priority in the queue, the most urgent first.
+func (d *Dispatcher) eachPriority(now time.Time, yield func(r priorityRange)) {
 	for start := 0; start < len(d.queue); {
-		g := priorityRange{priority: d.queue[start].req.Priority, start: start}
-		g.end = start + sort.Search(len(d.queue)-start, func(i int) bool { return d.queue[start+i].req.Priority > g.priority })
-		g.inTime = start + sort.Search(g.end-start, func(i int) bool { return !d.queue[start+i].req.isLate(now) })
-		yield(g)
-		start = g.end
+		r := priorityRange{priority: d.queue[start].req.Priority, start: start}
+		r.end = start + sort.Search(len(d.queue)-start, func(i int) bool { return d.queue[start+i].req.Priority > r.priority })
+		r.inTime = start + sort.Search(r.end-start, func(i int) bool { return !d.queue[start+i].req.isLate(now) })
+		yield(r)
+		start = r.end
 	}
 }
 
-// queueCounts is how many requests wait here that are in time, and how many that are late.
+// queueCounts returns how many requests queued here are in time and how many are late.
 func (d *Dispatcher) queueCounts(now time.Time) (inTime, late int) {
-	d.eachPriority(now, func(g priorityRange) {
-		inTime += g.end - g.inTime
-		late += g.inTime - g.start
+	d.eachPriority(now, func(r priorityRange) {
+		inTime += r.end - r.inTime
+		late += r.inTime - r.start
 	})
 	return inTime, late
 }
 
-// ahead is how many requests wait here that get a place before another one. Those who are
-// late do not go before one who is in time.
-func (d *Dispatcher) ahead(ask *SlotRequest, now time.Time) int {
-	ahead, isLate := 0, ask.isLate(now)
-	d.eachPriority(now, func(g priorityRange) {
-		from, to := g.inTime, g.end
+// ahead returns how many requests queued here get a slot before req. Late requests do not precede
+// one that is in time.
+func (d *Dispatcher) ahead(req *SlotRequest, now time.Time) int {
+	ahead, isLate := 0, req.isLate(now)
+	d.eachPriority(now, func(r priorityRange) {
+		from, to := r.inTime, r.end
 		if isLate {
-			from, to = g.start, g.inTime
-			ahead += g.end - g.inTime
+			from, to = r.start, r.inTime
+			ahead += r.end - r.inTime
 		}
 		switch {
-		case g.priority < ask.Priority:
+		case r.priority < req.Priority:
 			ahead += to - from
-		case g.priority == ask.Priority:
-			ahead += sort.Search(to-from, func(i int) bool { return d.queue[from+i].req.startBy.After(ask.startBy) })
+		case r.priority == req.Priority:
+			ahead += sort.Search(to-from, func(i int) bool { return d.queue[from+i].req.startBy.After(req.startBy) })
 		}
 	})
-	if ask.queued {
+	if req.queued {
 		ahead--
 	}
 	return max(0, ahead)
--- a/pkg/route/reservation.go
+++ b/pkg/route/reservation.go
@@ -8,61 +8,61 @@
 )
 
 const (
-	// holdSmoothing is the weight of the newest time in the mean time that a
-	// request holds a place.
+	// holdSmoothing is the weight of the newest sample in the moving average of the time that a
+	// request holds a slot.
 	holdSmoothing = 0.05
-	// ttfbSmoothing is the weight of the newest time in the mean time in which an answer
-	// begins, and in its mean deviation. A box sees about as many answers begin in a
-	// second as the mean reaches back; with the weights of RFC 6298 it followed single ones.
+	// ttfbSmoothing is the weight of the newest sample in the moving averages of the time to first
+	// byte and its deviation. The average spans about as many responses as start at a box in one
+	// second; with the weights of RFC 6298 it followed single responses.
 	ttfbSmoothing = 1.0 / 16
-	// failureSmoothing is the weight of the newest result in a server's share of
-	// failures.
+	// failureSmoothing is the weight of the newest result in a server's failure rate.
 	failureSmoothing = 0.15
-	// serverEjectInitial and serverEjectMax bound how long a server that could not be
-	// reached is left alone.
+	// serverEjectInitial and serverEjectMax are the first and the longest time for which an
+	// unreachable server is ejected.
 	serverEjectInitial = 500 * time.Millisecond
 	serverEjectMax     = 4 * time.Second
-	// replacedEjectTime is how long a server is left alone that is no longer the one
-	// listed. Its entry goes, or its agent tells of other weights, well within it.
+	// replacedEjectTime is how long a server is ejected that turned out to differ from the listed
+	// one. Well within this time its list entry is removed, or its agent reports other weights.
 	replacedEjectTime = 3 * time.Second
 )
 
-// Reservation is a place on a server that a request holds until it is released.
+// Reservation is a slot on a server that a request holds until it is released.
 type Reservation struct {
 	Server fleet.Server
-	// Incarnation is the latest start of the server that was known when the place was had; 0 if none was told.
+	// Incarnation is the latest incarnation of the server known when the slot was reserved; 0 if
+	// none was reported.
 	Incarnation member.Incarnation
-	// Version is the version of the weights that the server has; 0 if it runs no
-	// model.
+	// Version is the version of the server's weights; 0 if it runs no model.
 	Version fleet.WeightsVersion
 
 	dispatcher *Dispatcher
 	backend    *backend
 	reservedAt time.Time
-	// prefill is how long the server takes to read the request, prefillAhead what it has
-	// to read before.
+	// prefill is the prefill time of the request, prefillAhead that of the requests before it.
 	prefill      time.Duration
 	prefillAhead time.Duration
-	// cancel ends the attempt; nil if it goes on in any case.
+	// cancel cancels the attempt; nil if it cannot be canceled.
 	cancel func()
-	// lastStartedAt is when the answer began; zero before that. It belongs to the attempt.
+	// startedAt is when the response of this attempt started; zero before that.
 	startedAt time.Time
-	// suspect is set for a request under which another server has ended.
+	// suspect is set if another server exited while it ran the request.
 	suspect bool
-	// tokenRate is the rate of the token bucket when a token was last taken for this reservation; 0 if none was taken.
+	// tokenRate is the rate of the token bucket when a token was last taken for this reservation; 0
+	// if none was taken.
 	tokenRate float64
 }
 
-// OnVersionCutoff sets what ends the attempt if its answer has not begun when the weights of its server
-// no longer may begin any, by what is known then: a version may be named, or heard to be older than
-// was thought, after the request was sent. It must not block, nor call the dispatcher.
-func (r *Reservation) OnVersionCutoff(giveUp func()) {
+// OnVersionCutoff sets the function that cancels the attempt if its response has not started when
+// the version of its server passes the cutoff. A version published, or found to be older than
+// assumed, after the request was sent can bring the cutoff forward. The function must not block or
+// call the dispatcher.
+func (r *Reservation) OnVersionCutoff(cancel func()) {
 	r.dispatcher.mu.Lock()
 	defer r.dispatcher.mu.Unlock()
-	r.cancel = giveUp
+	r.cancel = cancel
 }
 
-// Started notes that the answer has begun.
+// Started records that the response has started.
 func (r *Reservation) Started(now time.Time) {
 	d := r.dispatcher
 	d.mu.Lock()
@@ -80,29 +80,29 @@
 	d.grant(nil, now)
 }
 
-// Result is what became of an attempt.
+// Result is the result of an attempt.
 type Result int
 
 // The results of an attempt.
 const (
-	// ResultDone is a whole answer.
+	// ResultDone is a complete response.
 	ResultDone Result = iota
-	// ResultFailed is an answer that failed or broke off.
+	// ResultFailed is a response that failed or was truncated.
 	ResultFailed
 	// ResultRefused is a refusal by a server that did not run the request.
 	ResultRefused
-	// ResultUnreachable is a server that could not be connected to.
+	// ResultUnreachable is a failure to connect to the server.
 	ResultUnreachable
-	// ResultReplaced is a server whose address another one has, or whose weights
-	// are not those that were asked for.
+	// ResultReplaced is a server whose address now belongs to another one, or whose weights are not
+	// the requested ones.
 	ResultReplaced
-	// ResultAbandoned is an attempt whose caller left.
+	// ResultAbandoned is an attempt whose caller disconnected.
 	ResultAbandoned
-	// ResultServerExited is an attempt whose server ended meanwhile.
+	// ResultServerExited is an attempt whose server exited during it.
 	ResultServerExited
 )
 
-// Release gives the place back.
+// Release releases the slot and records the result of the attempt.
 func (r *Reservation) Release(result Result, now time.Time) {
 	d := r.dispatcher
 	d.mu.Lock()
@@ -117,14 +117,14 @@
 	case ResultFailed:
 		b.failureRate += failureSmoothing * (1 - b.failureRate)
 	case ResultRefused:
-		// The server had less room than was thought; it is left alone until a few
-		// of its requests have ended.
+		// The server had less free capacity than assumed; it is ejected until a few of its requests
+		// have ended.
 		b.ejectedUntil = now.Add(d.typicalHoldTime / time.Duration(2*d.slots(b)))
 	case ResultUnreachable, ResultServerExited:
 		b.ejectedUntil = now.Add(min(serverEjectMax, serverEjectInitial<<min(b.ejections, 8)))
 		b.ejections++
 	case ResultReplaced:
-		// An agent that has told of other weights meanwhile knows better.
+		// Other weights that the agent has reported since are more recent than this result.
 		if version, _ := b.version(now); version == r.Version {
 			b.replaced, b.ejectedUntil = true, now.Add(replacedEjectTime)
 		}
@@ -143,13 +143,14 @@
 	d.capacity.free++
 	freed := r.backend
 	if d.backends[r.Server.ID] != freed {
-		// The server is no longer listed.
+		// The server or this incarnation is no longer listed.
 		freed = nil
 	}
 	d.grant(freed, now)
 }
 
-// clearAwaiting notes that the server no longer reads the request.
+// clearAwaiting removes the reservation from those that await a first byte, and its prefill from
+// the load.
 func (r *Reservation) clearAwaiting() {
 	if _, awaited := r.backend.awaiting[r]; awaited {
 		delete(r.backend.awaiting, r)
@@ -167,10 +168,10 @@
 // String returns the result's name in logs and metrics.
 func (r Result) String() string { return resultNames[r] }
 
-// HeldFor returns for how long the place has been held.
+// HeldFor returns how long the slot has been held.
 func (r *Reservation) HeldFor(now time.Time) time.Duration { return now.Sub(r.reservedAt) }
 
-// RespondingFor returns for how long the server has been giving its answer; 0 if it has not begun.
+// RespondingFor returns how long ago the response started; 0 if it has not started.
 func (r *Reservation) RespondingFor(now time.Time) time.Duration {
 	if r.startedAt.IsZero() {
 		return 0
@@ -178,17 +179,18 @@
 	return now.Sub(r.startedAt)
 }
 
-// ServerIncarnation returns which start of the server the place is on.
+// ServerIncarnation returns the incarnation of the server that the slot is on.
 func (r *Reservation) ServerIncarnation() ServerIncarnation {
 	return ServerIncarnation{Server: r.Server.ID, Incarnation: r.Incarnation}
 }
 
-// IsListed reports whether the platform still lists the server. One that leaves without a word is taken off the list first.
+// IsListed reports whether the platform still lists the server. A server that leaves without an
+// announcement is first removed from the list.
 func (r *Reservation) IsListed() bool {
 	r.dispatcher.mu.Lock()
 	defer r.dispatcher.mu.Unlock()
 	return r.dispatcher.backends[r.Server.ID] != nil
 }
 
-// ReservedAt returns when the place was had.
+// ReservedAt returns when the slot was reserved.
 func (r *Reservation) ReservedAt() time.Time { return r.reservedAt }
