--- a/pkg/route/admission.go
+++ b/pkg/route/admission.go
@@ -9,17 +9,17 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// ErrQueueFull reports that a group has too many requests waiting.
+// ErrQueueFull reports that the queue of a group has reached its limit.
 var ErrQueueFull = errors.New("the group's queue is full")
 
-// ErrDeadline reports that a request could not start before its deadline.
+// ErrDeadline reports that a request is not expected to start before its deadline.
 var ErrDeadline = errors.New("the deadline would pass before the request starts")
 
-// Admission shares a number of places among groups. Where a place is free a
-// request takes it at once, whoever asks, so that bursts borrow what is idle.
-// Where all are taken, each group waits in a queue of its own, and a place that
-// becomes free goes to the group with the least work served over its weight.
-// Within a group the higher priority goes first, then the earlier.
+// Admission shares a number of slots among groups of callers by weighted fair queueing. It grants a free slot
+// immediately to any group, so that bursts can use idle capacity. While all slots are in use, each group has its own
+// queue, and a released slot goes to the group with the lowest virtual time, which is the work served divided by the
+// weight. Within a group, requests are ordered by priority, highest first, and then by arrival. It is safe for
+// concurrent use.
 type Admission struct {
 	queueLimit int
 
@@ -27,13 +27,14 @@
 	slots   int
 	running int
 	groups  map[table.Group]*groupQueue
-	// virtualTime is the service mark of the last group that got a place. A group
-	// that was idle starts from it, so that it cannot save up a claim.
+	// virtualTime is the highest virtual time at which a group was granted a slot. An idle group resumes at it, so that
+	// it accumulates no credit.
 	virtualTime float64
-	// typicalHoldTime is a moving average of how long a place is held.
+	// typicalHoldTime is a moving average of how long a slot is held.
 	typicalHoldTime time.Duration
 }
 
+// groupQueue contains the waiting requests of a group and accounts for its use of slots.
 type groupQueue struct {
 	weight      float64
 	virtualTime float64
@@ -41,26 +42,27 @@
 	waiting     []*waiter
 }
 
+// waiter is a queued request.
 type waiter struct {
 	priority int
-	ready    chan struct{}
+	// ready is closed when the request is granted a slot.
+	ready chan struct{}
 }
 
-// NewAdmission returns an admission with a number of places; each group's queue
-// holds at most queueLimit requests.
-func NewAdmission(places, queueLimit int) *Admission {
-	return &Admission{slots: places, queueLimit: queueLimit, groups: make(map[table.Group]*groupQueue)}
+// NewAdmission returns an Admission with a number of slots. The queue of each group holds at most queueLimit requests.
+func NewAdmission(slots, queueLimit int) *Admission {
+	return &Admission{slots: slots, queueLimit: queueLimit, groups: make(map[table.Group]*groupQueue)}
 }
 
-// SetSlots changes how many requests may run at once.
-func (a *Admission) SetSlots(places int) {
+// SetSlots sets how many requests may run at the same time.
+func (a *Admission) SetSlots(slots int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.slots = places
+	a.slots = slots
 	a.grant()
 }
 
-// SetWeight changes a group's weight; a group never named has weight 1.
+// SetWeight sets the weight of a group. The default is 1.
 func (a *Admission) SetWeight(group table.Group, weight float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -76,8 +78,8 @@
 	return g
 }
 
-// Acquire waits for a place. Errors are ErrQueueFull, ErrDeadline and the
-// context's; with each of them the request has not started and never will.
+// Acquire waits for a slot. It returns ErrQueueFull, ErrDeadline or the error of the context; in each case the request
+// has not started and holds no slot.
 func (a *Admission) Acquire(ctx context.Context, group table.Group, priority int, now time.Time, deadline time.Time) (*Slot, error) {
 	a.mu.Lock()
 	g := a.group(group)
@@ -110,7 +112,7 @@
 	defer a.mu.Unlock()
 	select {
 	case <-w.ready:
-		// The place came together with the end; it goes to the next one.
+		// The slot was granted while the context ended; it goes to the next request.
 		a.finish(g)
 	default:
 		g.remove(w)
@@ -118,29 +120,30 @@
 	return nil, ctx.Err()
 }
 
-// enqueue keeps the queue in order of priority, then of arrival.
+// enqueue inserts a request into the queue, which is ordered by priority and then by arrival.
 func (a *Admission) enqueue(g *groupQueue, w *waiter) {
 	if len(g.waiting) == 0 && g.running == 0 {
 		g.virtualTime = max(g.virtualTime, a.virtualTime)
 	}
-	at := len(g.waiting)
-	for at > 0 && g.waiting[at-1].priority < w.priority {
-		at--
+	pos := len(g.waiting)
+	for pos > 0 && g.waiting[pos-1].priority < w.priority {
+		pos--
 	}
 	g.waiting = append(g.waiting, nil)
-	copy(g.waiting[at+1:], g.waiting[at:])
-	g.waiting[at] = w
+	copy(g.waiting[pos+1:], g.waiting[pos:])
+	g.waiting[pos] = w
 }
 
 func (g *groupQueue) remove(w *waiter) {
-	for i, held := range g.waiting {
-		if held == w {
+	for i, queued := range g.waiting {
+		if queued == w {
 			g.waiting = append(g.waiting[:i], g.waiting[i+1:]...)
 			return
 		}
 	}
 }
 
+// start gives a slot to the group and charges it for one request.
 func (a *Admission) start(g *groupQueue) {
 	if g.running == 0 {
 		g.virtualTime = max(g.virtualTime, a.virtualTime)
@@ -157,7 +160,7 @@
 	a.grant()
 }
 
-// grant gives free places to the groups that are furthest behind.
+// grant gives the free slots to the groups with the lowest virtual time.
 func (a *Admission) grant() {
 	for a.running < a.slots {
 		var next *groupQueue
@@ -176,8 +179,8 @@
 	}
 }
 
-// expectedWait is a low estimate, so that no request is refused for a deadline
-// it could have met: the group's queue, served with all places.
+// expectedWait returns how long the group's queue would take if all slots served it. This estimate is low, so that no
+// request is rejected whose deadline it could have met.
 func (a *Admission) expectedWait(g *groupQueue) time.Duration {
 	if a.slots == 0 {
 		return 0
@@ -185,14 +188,14 @@
 	return a.typicalHoldTime * time.Duration(len(g.waiting)) / time.Duration(a.slots)
 }
 
-// RetryAfter is when a refused request of the group may find a place.
+// RetryAfter returns how long a rejected caller of the group should wait before it retries; at least one second.
 func (a *Admission) RetryAfter(group table.Group) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return max(time.Second, a.expectedWait(a.group(group)))
 }
 
-// Counts returns how many requests wait and run.
+// Counts returns how many requests are waiting and running.
 func (a *Admission) Counts() (waiting, running int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -202,7 +205,7 @@
 	return waiting, a.running
 }
 
-// Slot is one place in use.
+// Slot is the permission for one request to run. It must be released.
 type Slot struct {
 	admission  *Admission
 	group      *groupQueue
@@ -210,11 +213,11 @@
 	once       sync.Once
 }
 
-// holdTimeShift sets how much one request moves the average: a sixteenth.
+// holdTimeShift sets the weight of one request in the average hold time: 1/16.
 const holdTimeShift = 4
 
-// Release gives the place back and charges extra work, in requests of common size,
-// beyond the one that was charged at the start.
+// Release returns the slot and charges the group for extra work beyond the one request that it was charged for at the
+// start. The unit of extra is a request of typical size. Only the first call has an effect.
 func (s *Slot) Release(extra float64, now time.Time) {
 	s.once.Do(func() {
 		a := s.admission
--- a/pkg/route/backoff.go
+++ b/pkg/route/backoff.go
@@ -8,40 +8,43 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// A server that has no room may turn a request away and ask this box for rest. By what it has in flight it then
-// looks the emptiest of all, and would get more than any other server, each of which uses up an attempt. Rest is asked of one box, so it is not told to others.
+// A server without capacity may reject a request and return a backoff time (Retry-After) to this box. As few requests
+// are in flight there, it would then appear to be the least loaded server and receive more requests than any other, and
+// each rejected request uses up an attempt. A server requests a backoff from a single box, so it is not reported to
+// other boxes.
 
-// ErrLeaving reports a place on a server that has said meanwhile that it will end.
-var ErrLeaving = errors.New("the server has said that it leaves")
+// ErrLeaving reports that the server has announced that it is leaving since the slot was reserved.
+var ErrLeaving = errors.New("server is leaving")
 
-// ErrBackingOff reports a place on a server that has asked for rest meanwhile.
-var ErrBackingOff = errors.New("the server has asked for rest")
+// ErrBackingOff reports that the server has requested a backoff since the slot was reserved.
+var ErrBackingOff = errors.New("server has requested a backoff")
 
-// backoff is until when one start of a server wants nothing from this box.
+// backoff is the time until which one incarnation of a server accepts no requests from this box.
 type backoff struct {
 	incarnation member.Incarnation
 	until       time.Time
 }
 
-// backoffs are those that were asked for, kept beside the list: a server whose entry goes and comes back still
-// wants the time that it asked for.
+// backoffs contains the requested backoffs. It is independent of the server list, as a backoff remains valid when the
+// server is unlisted and listed again.
 type backoffs map[fleet.ServerID]backoff
 
-// add notes a rest. Of two times the later one holds.
-func (r backoffs) add(id fleet.ServerID, asked backoff, now time.Time) {
+// add records a backoff and removes those that have ended. Of two backoffs of one incarnation, the later end applies.
+func (r backoffs) add(id fleet.ServerID, requested backoff, now time.Time) {
 	for other, known := range r {
 		if !now.Before(known.until) {
 			delete(r, other)
 		}
 	}
 	known, ok := r[id]
-	if ok && (known.incarnation > asked.incarnation || known.incarnation == asked.incarnation && known.until.After(asked.until)) {
+	if ok && (known.incarnation > requested.incarnation || known.incarnation == requested.incarnation && known.until.After(requested.until)) {
 		return
 	}
-	r[id] = asked
+	r[id] = requested
 }
 
-// until returns until when a start of a server rests; a later start than the one that asked does not.
+// until returns the end of the backoff of a server's incarnation; zero if there is none. A backoff does not apply to
+// later incarnations than the one that requested it.
 func (r backoffs) until(id fleet.ServerID, incarnation member.Incarnation) time.Time {
 	if known, ok := r[id]; ok && incarnation <= known.incarnation {
 		return known.until
@@ -49,18 +52,17 @@
 	return time.Time{}
 }
 
-// newBackend returns a server of which nothing is known but which start of it this is, and the rest that this
-// start has asked for.
+// newBackend returns a backend for an incarnation of a server, with the backoff that this incarnation has requested.
 func (d *Dispatcher) newBackend(id fleet.ServerID, incarnation member.Incarnation, now time.Time) *backend {
 	b := newBackend(incarnation)
 	b.backoffUntil = d.backoffs.until(id, incarnation)
-	// An answer does not say of which start it is, so the rest may be this start's, of which was heard later: it
-	// gets one request first.
+	// A response does not identify the incarnation that sent it. The backoff may therefore be that of this incarnation,
+	// which became known only later, so the server is probed with one request first.
 	b.recovered = !now.Before(d.backoffs[id].until)
 	return b
 }
 
-// BackOff notes that the server wants nothing more from this box until a time.
+// BackOff records that the server has requested a backoff from this box until a time.
 func (r *Reservation) BackOff(until, now time.Time) {
 	d := r.dispatcher
 	d.mu.Lock()
@@ -76,7 +78,7 @@
 	d.forecast, d.capacity = forecast{}, capacitySnapshot{}
 }
 
-// IsLeaving reports whether the server has announced that it will end.
+// IsLeaving reports whether the server has announced that it is leaving.
 func (r *Reservation) IsLeaving() bool {
 	d := r.dispatcher
 	d.mu.Lock()
@@ -84,9 +86,10 @@
 	return d.leaving[r.Server.ID]
 }
 
-// Check must be called before the request is sent. It returns an error if the server has announced its end, asked for rest or
-// advertised a rate limit since the place was reserved. Opening a connection can take several hundred milliseconds. If it returns
-// nil, the request counts against the rate limit.
+// Check must be called immediately before the request is sent, as opening a connection can take several hundred
+// milliseconds. It returns ErrLeaving, ErrBackingOff or ErrLimited if the server has announced that it is leaving, has
+// requested a backoff, or has no token left under a rate limit that was set or lowered since the slot was reserved.
+// If it returns nil, the request counts against the rate limit.
 func (r *Reservation) Check(now time.Time) error {
 	d := r.dispatcher
 	d.mu.Lock()
@@ -100,66 +103,67 @@
 	return r.checkLimit(now)
 }
 
-// isBackingOff reports whether the server has asked this box for rest that is not over.
+// isBackingOff reports whether the backoff that the server has requested from this box has not ended.
 func (b *backend) isBackingOff(now time.Time) bool { return now.Before(b.backoffUntil) }
 
-// isProbing reports whether a request is on its way to a server that has rested and has not answered one since.
-// Others wait for what becomes of it, unless the server stands still: all boxes come back to it at one moment, and
-// each that it turns away has used up an attempt.
+// isProbing reports whether a request awaits its first byte from a server that has not responded since its backoff.
+// Other requests wait for the result of this probe, as all boxes resume sending when the backoff ends and each request
+// that the server rejects uses up an attempt. They no longer wait once the server is stalled.
 func (b *backend) isProbing(now time.Time) bool {
 	return !b.recovered && len(b.awaiting) > 0 && b.maxFirstByteWait(now) < stallTimeout
 }
 
-// updateRecovered notes that the server has begun or ended an answer to a request; one that was sent before the rest
-// says nothing of what comes after it.
+// updateRecovered marks the server as recovered when it responds to a request that was sent after the backoff. A
+// response to an earlier request is no evidence that the server accepts requests again.
 func (b *backend) updateRecovered(r *Reservation) {
 	if !r.reservedAt.Before(b.backoffUntil) {
 		b.recovered = true
 	}
 }
 
-// backoffServers are the servers of the list that have asked this box for rest that is not over.
+// backoffServers summarizes the listed servers that are backing off.
 type backoffServers struct {
 	servers, slots int
-	// earliest is when the first of them may be asked again.
+	// earliest is when the first backoff ends.
 	earliest time.Time
 }
 
-// backingOff returns the servers that rest. It looks at those that have asked for rest alone: refusals come
-// by the thousand, and a fleet has as many servers.
-func (d *Dispatcher) backingOff(now time.Time) (resting backoffServers) {
+// backingOff returns a summary of the servers that are backing off. It iterates only over servers with a backoff, as
+// there can be thousands of rejections and thousands of servers.
+func (d *Dispatcher) backingOff(now time.Time) (total backoffServers) {
 	for id := range d.backoffs {
 		b := d.backends[id]
 		if b == nil || !b.isBackingOff(now) {
 			continue
 		}
-		resting.servers++
-		resting.slots += d.slots(b)
-		if resting.earliest.IsZero() || b.backoffUntil.Before(resting.earliest) {
-			resting.earliest = b.backoffUntil
+		total.servers++
+		total.slots += d.slots(b)
+		if total.earliest.IsZero() || b.backoffUntil.Before(total.earliest) {
+			total.earliest = b.backoffUntil
 		}
 	}
-	return resting
+	return total
 }
 
-// BackoffError returns why a request that was turned away should come back later if every server that could run it
-// rests, nil otherwise.
-func (d *Dispatcher) BackoffError(ask *SlotRequest, now time.Time) error {
+// BackoffError returns a *BusyError with the retry time of a rejected request if servers are backing off and no server
+// is eligible. Otherwise, it returns nil.
+func (d *Dispatcher) BackoffError(req *SlotRequest, now time.Time) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.backingOff(now).servers == 0 || d.anyEligible(now) {
 		return nil
 	}
-	ask.startBy = d.startBy(ask, now)
-	return d.busyError(ask, now)
+	req.startBy = d.startBy(req, now)
+	return d.busyError(req, now)
 }
 
-// retryAfterBackoff returns when a caller should come back where every server rests: once the first has rested, those who
-// were told so before first, one after the other.
-func (d *Dispatcher) retryAfterBackoff(resting backoffServers, now time.Time) (wait time.Duration, ok bool) {
-	if resting.servers == 0 || d.anyEligible(now) {
+// retryAfterBackoff returns how long a caller should wait before it retries if servers are backing off and no server is
+// eligible: until the first backoff ends, plus the time for the retries that were scheduled before. Otherwise, ok is
+// false.
+func (d *Dispatcher) retryAfterBackoff(backingOff backoffServers, now time.Time) (wait time.Duration, ok bool) {
+	if backingOff.servers == 0 || d.anyEligible(now) {
 		return 0, false
 	}
-	before := time.Duration(d.scheduledRetries.count(now)*d.boxes) * d.typicalHoldTime / time.Duration(resting.slots)
-	return resting.earliest.Sub(now) + before, true
+	earlierRetries := time.Duration(d.scheduledRetries.count(now)*d.boxes) * d.typicalHoldTime / time.Duration(backingOff.slots)
+	return backingOff.earliest.Sub(now) + earlierRetries, true
 }
--- a/pkg/route/backoff_test.go
+++ b/pkg/route/backoff_test.go
@@ -10,7 +10,7 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// plainDispatcher is a dispatcher before servers of a plain service.
+// plainDispatcher is a dispatcher for a plain service, with a settable time.
 type plainDispatcher struct {
 	t   *testing.T
 	d   *Dispatcher
@@ -34,72 +34,73 @@
 	w.d.SetServers(servers, 0, allLocal, w.now)
 }
 
-// submit asks for a place for a caller who waits for six seconds.
+// submit requests a slot with an objective of one second and a deadline of six seconds.
 func (w *plainDispatcher) submit() (*Reservation, *QueuedRequest, error) {
 	return w.d.Submit(&SlotRequest{Arrived: w.now, Objective: w.now.Add(time.Second), Deadline: w.now.Add(6 * time.Second)}, func(*Reservation) {}, w.now)
 }
 
+// acquire is like submit, and fails the test unless a slot is granted immediately.
 func (w *plainDispatcher) acquire() *Reservation {
 	w.t.Helper()
-	place, _, err := w.submit()
+	reservation, _, err := w.submit()
 	require.NoError(w.t, err)
-	require.NotNil(w.t, place)
-	return place
+	require.NotNil(w.t, reservation)
+	return reservation
 }
 
-// rejectWithBackoff lets the server of a place ask for rest.
-func (w *plainDispatcher) rejectWithBackoff(place *Reservation, rest time.Duration) {
-	place.BackOff(w.now.Add(rest), w.now)
-	place.Release(ResultRefused, w.now)
+// rejectWithBackoff simulates a server that rejects the request and requests a backoff.
+func (w *plainDispatcher) rejectWithBackoff(reservation *Reservation, duration time.Duration) {
+	reservation.BackOff(w.now.Add(duration), w.now)
+	reservation.Release(ResultRefused, w.now)
 }
 
-// serve returns on which servers requests are served that come one after the other.
+// serve submits requests one after the other and returns the number that each server has served.
 func (w *plainDispatcher) serve(requests int) map[fleet.ServerID]int {
 	w.t.Helper()
 	served := make(map[fleet.ServerID]int)
 	for range requests {
-		place := w.acquire()
-		served[place.Server.ID]++
-		place.Started(w.now)
-		place.Release(ResultDone, w.now)
+		reservation := w.acquire()
+		served[reservation.Server.ID]++
+		reservation.Started(w.now)
+		reservation.Release(ResultDone, w.now)
 	}
 	return served
 }
 
-// A server that turned requests away and asked for three seconds of rest got 24 requests within it: it had
-// nothing in flight, so each box took it for the emptiest.
+// Guards against sending requests to a server that has requested a backoff. A server without requests in flight has the
+// lowest cost at each box; one received 24 requests within its backoff of three seconds.
 func TestServerGetsNoRequestsDuringBackoff(t *testing.T) {
 	w := newPlainDispatcher(t, plainServer("a", 1), plainServer("b", 1))
-	place := w.acquire()
-	resting := place.Server.ID
-	w.rejectWithBackoff(place, 3*time.Second)
+	reservation := w.acquire()
+	backingOff := reservation.Server.ID
+	w.rejectWithBackoff(reservation, 3*time.Second)
 	w.now = w.now.Add(time.Second)
-	require.Zero(t, w.serve(50)[resting])
+	require.Zero(t, w.serve(50)[backingOff])
 	w.now = w.now.Add(1999 * time.Millisecond)
-	require.Zero(t, w.serve(50)[resting])
+	require.Zero(t, w.serve(50)[backingOff])
 	w.now = w.now.Add(time.Millisecond)
-	require.NotZero(t, w.serve(50)[resting], "its rest is over")
+	require.NotZero(t, w.serve(50)[backingOff], "the backoff has ended")
 }
 
 func TestOnlyNewIncarnationEndsBackoff(t *testing.T) {
 	for name, test := range map[string]struct {
-		meanwhile func(w *plainDispatcher)
-		resting   bool
+		change     func(w *plainDispatcher)
+		backingOff bool
 	}{
-		"nothing":                   {func(*plainDispatcher) {}, true},
-		"its entry goes and comes":  {func(w *plainDispatcher) { w.setServers(); w.setServers(plainServer("a", 5)) }, true},
-		"its entry is of before":    {func(w *plainDispatcher) { w.setServers(); w.setServers(plainServer("a", 4)) }, true},
-		"its agent tells of work":   {func(w *plainDispatcher) { w.d.UpdateServer("a", ServerState{Incarnation: 5, Version: 2}, w.now) }, true},
-		"it starts again, listed":   {func(w *plainDispatcher) { w.setServers(plainServer("a", 6)) }, false},
-		"its agent tells the start": {func(w *plainDispatcher) { w.d.UpdateServer("a", ServerState{Incarnation: 6}, w.now) }, false},
+		"nothing changes":                 {func(*plainDispatcher) {}, true},
+		"unlisted and listed again":       {func(w *plainDispatcher) { w.setServers(); w.setServers(plainServer("a", 5)) }, true},
+		"listed with older incarnation":   {func(w *plainDispatcher) { w.setServers(); w.setServers(plainServer("a", 4)) }, true},
+		"agent reports new weights":       {func(w *plainDispatcher) { w.d.UpdateServer("a", ServerState{Incarnation: 5, Version: 2}, w.now) }, true},
+		"listed with new incarnation":     {func(w *plainDispatcher) { w.setServers(plainServer("a", 6)) }, false},
+		"agent reports a new incarnation": {func(w *plainDispatcher) { w.d.UpdateServer("a", ServerState{Incarnation: 6}, w.now) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newPlainDispatcher(t, plainServer("a", 5))
 			w.rejectWithBackoff(w.acquire(), 3*time.Second)
 			w.now = w.now.Add(time.Second)
-			test.meanwhile(w)
+			test.change(w)
 			_, _, err := w.submit()
-			if test.resting {
+			if test.backingOff {
 				require.Error(t, err)
 			} else {
 				require.NoError(t, err)
@@ -126,25 +127,26 @@
 	require.Equal(t, fleet.ServerID("a"), w.acquire().Server.ID)
 }
 
-// A place may be had some hundred milliseconds before anything is sent, as a connection is opened.
+// Guards against sending a request to a server that requested a backoff or started leaving after the slot was reserved.
+// Opening a connection can take several hundred milliseconds.
 func TestCheckFailsIfServerBacksOffOrLeaves(t *testing.T) {
 	w := newPlainDispatcher(t, plainServer("a", 1))
-	place, other := w.acquire(), w.acquire()
-	require.NoError(t, place.Check(w.now))
+	reservation, other := w.acquire(), w.acquire()
+	require.NoError(t, reservation.Check(w.now))
 	w.rejectWithBackoff(other, time.Second)
-	require.ErrorIs(t, place.Check(w.now), ErrBackingOff)
+	require.ErrorIs(t, reservation.Check(w.now), ErrBackingOff)
 	w.now = w.now.Add(time.Second)
-	require.NoError(t, place.Check(w.now))
+	require.NoError(t, reservation.Check(w.now))
 	leaving := plainServer("a", 1)
 	leaving.Leaving = true
 	w.setServers(leaving)
-	require.ErrorIs(t, place.Check(w.now), ErrLeaving)
+	require.ErrorIs(t, reservation.Check(w.now), ErrLeaving)
 	w.setServers(plainServer("a", 2))
-	require.NoError(t, place.Check(w.now))
+	require.NoError(t, reservation.Check(w.now))
 }
 
-// All boxes come back to a server that has rested at one moment, each with all that waits there; what it turns away
-// has used up an attempt.
+// Guards against overloading a server when its backoff ends. All boxes would send all their queued requests to it at
+// the same time, and each request that it rejects uses up an attempt.
 func TestServerIsProbedWithOneRequestAfterBackoff(t *testing.T) {
 	w := newPlainDispatcher(t, plainServer("a", 1))
 	running := w.acquire()
@@ -152,13 +154,13 @@
 	w.rejectWithBackoff(w.acquire(), time.Second)
 	w.now = w.now.Add(time.Second)
 	running.Release(ResultDone, w.now)
-	trial := w.acquire()
-	place, waiting, err := w.submit()
+	probe := w.acquire()
+	reservation, waiting, err := w.submit()
 	require.NoError(t, err)
-	require.Nil(t, place)
-	require.NotNil(t, waiting, "others wait for what becomes of the first")
-	trial.Started(w.now)
-	require.Equal(t, 1, w.d.OwnLoad()["a"].Requests-1, "the one that waited has its place")
+	require.Nil(t, reservation)
+	require.NotNil(t, waiting, "other requests wait for the result of the probe")
+	probe.Started(w.now)
+	require.Equal(t, 1, w.d.OwnLoad()["a"].Requests-1, "the queued request got its slot")
 	w.acquire()
 }
 
@@ -171,7 +173,8 @@
 	w.acquire()
 }
 
-// Callers were told to come back in 0.1 s, whatever rest all servers had asked for.
+// Guards against a Retry-After that ignores the backoffs of the servers: callers received a Retry-After of 0.1 s while
+// all servers were backing off.
 func TestRetryAfterIsEndOfEarliestBackoffIfAllServersBackOff(t *testing.T) {
 	w := newPlainDispatcher(t, plainServer("a", 1), plainServer("b", 1))
 	first, second := w.acquire(), w.acquire()
@@ -180,22 +183,23 @@
 		second = w.acquire()
 	}
 	w.rejectWithBackoff(second, 5*time.Second)
-	var told []time.Duration
+	var waits []time.Duration
 	for range 40 {
 		_, _, err := w.submit()
 		var busy *BusyError
-		require.ErrorAs(t, err, &busy, "refused at once")
+		require.ErrorAs(t, err, &busy, "rejected immediately")
 		require.GreaterOrEqual(t, busy.RetryAfter, 2*time.Second)
-		told = append(told, busy.RetryAfter)
+		waits = append(waits, busy.RetryAfter)
 	}
-	require.Greater(t, told[39]-told[0], 200*time.Millisecond, "not all at one moment")
-	resting := w.d.BackoffError(&SlotRequest{Objective: w.now, Deadline: w.now.Add(time.Second)}, w.now)
-	require.GreaterOrEqual(t, RetryAfter(resting, time.Second), 2*time.Second, "so is one that was turned away")
+	require.Greater(t, waits[39]-waits[0], 200*time.Millisecond, "retries are staggered")
+	backoffErr := w.d.BackoffError(&SlotRequest{Objective: w.now, Deadline: w.now.Add(time.Second)}, w.now)
+	require.GreaterOrEqual(t, RetryAfter(backoffErr, time.Second), 2*time.Second, "the same applies to a request that a server rejected")
 	w.now = w.now.Add(2 * time.Second)
 	require.NoError(t, w.d.BackoffError(&SlotRequest{Objective: w.now, Deadline: w.now.Add(time.Second)}, w.now))
 }
 
-// Without the rest in it, the forecast would take the server to be away for as long again as it has been.
+// Guards against a forecast that ignores the backoff. It would assume that the server stays ineligible for as long
+// again as it has been.
 func TestRetryWaitsForServerWhoseBackoffEndsSoon(t *testing.T) {
 	w := newPlainDispatcher(t, plainServer("a", 1))
 	w.rejectWithBackoff(w.acquire(), time.Second)
@@ -207,24 +211,25 @@
 	require.NotNil(t, waiting)
 }
 
-// Guards against ending the rest of a server when its current start is listed only after the answer that asked for rest.
+// Guards against ending a backoff too early: when the current incarnation of the server is listed only after the
+// response that requested the backoff, it must not be mistaken for a later incarnation.
 func TestBackoffAppliesToIncarnationRunningWhenRequested(t *testing.T) {
 	for name, test := range map[string]struct {
 		startedBefore time.Duration
-		rests         bool
+		backingOff    bool
 	}{
-		"started 2.1 s before the answer": {2100 * time.Millisecond, true},
-		"started 1.9 s before the answer": {1900 * time.Millisecond, false},
-		"started after the answer":        {-100 * time.Millisecond, false},
+		"started 2.1 s before the response": {2100 * time.Millisecond, true},
+		"started 1.9 s before the response": {1900 * time.Millisecond, false},
+		"started after the response":        {-100 * time.Millisecond, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newPlainDispatcher(t, plainServer("a", 1))
 			w.now = time.Unix(1000, 0)
-			asked := w.now
+			requestedAt := w.now
 			w.rejectWithBackoff(w.acquire(), 3*time.Second)
 			w.now = w.now.Add(time.Second)
-			w.setServers(plainServer("a", member.Incarnation(asked.Add(-test.startedBefore).UnixMilli())))
-			require.Equal(t, test.rests, !w.d.anyEligible(w.now))
+			w.setServers(plainServer("a", member.Incarnation(requestedAt.Add(-test.startedBefore).UnixMilli())))
+			require.Equal(t, test.backingOff, !w.d.anyEligible(w.now))
 		})
 	}
 }
--- a/pkg/route/callertimeout.go
+++ b/pkg/route/callertimeout.go
@@ -6,54 +6,52 @@
 )
 
 const (
-	// CallerTimeoutMinSamples is after how many requests it is known how long callers wait.
+	// CallerTimeoutMinSamples is the number of samples that are required before the median is used.
 	CallerTimeoutMinSamples = 20
-	// callerTimeoutSamples is over how many of the newest requests it is taken: at 100 requests a
-	// second, ten boxes and three routes some half a minute.
+	// callerTimeoutSamples is the number of latest requests in the median. With 100 requests per second, ten boxes and
+	// three routes, they cover about half a minute.
 	callerTimeoutSamples = 128
-	// callerTimeoutUpdateInterval is after how many requests it is worked out anew.
+	// callerTimeoutUpdateInterval is the number of requests between two updates of the median.
 	callerTimeoutUpdateInterval = 16
-	// retryTimeoutRatio is the part of the usual time below which a caller has been here before.
-	// Callers differ in how long they wait, so nothing nearer to the usual time tells: first
-	// requests of the less patient would count as returned ones. Who has used half of its time can't be
-	// answered in time any more, whoever it is.
+	// retryTimeoutRatio is the fraction of the typical timeout below which a request counts as a retry. Timeouts differ
+	// among callers, so a higher ratio would count new requests of callers with short timeouts as retries. A request
+	// with less than half of the time left cannot be answered in time, whether it is a retry or not.
 	retryTimeoutRatio = 0.5
 )
 
-// CallerTimeoutEstimator is how long the callers of a route wait when they first ask, as far as their
-// requests show. It tells those who came back though no box knows them, as their box was
-// killed or they left it by themselves. The median holds as long as more than half of the
-// requests are first ones.
+// CallerTimeoutEstimator estimates the typical timeout of the new requests on a route. It detects retries of callers
+// that no box has recorded as rejected, as their box was killed or they canceled the request themselves. The median is
+// valid as long as more than half of the requests are new. It is not safe for concurrent use.
 type CallerTimeoutEstimator struct {
 	samples []time.Duration
 	next    int
-	seen    int
+	count   int
 	median  time.Duration
 }
 
-// Observe takes the remaining time of a request that is not known to have come back.
-func (p *CallerTimeoutEstimator) Observe(remaining time.Duration) {
-	if len(p.samples) < callerTimeoutSamples {
-		p.samples = append(p.samples, remaining)
+// Observe adds the remaining time of a request that is not known to be a retry.
+func (e *CallerTimeoutEstimator) Observe(remaining time.Duration) {
+	if len(e.samples) < callerTimeoutSamples {
+		e.samples = append(e.samples, remaining)
 	} else {
-		p.samples[p.next] = remaining
-		p.next = (p.next + 1) % callerTimeoutSamples
+		e.samples[e.next] = remaining
+		e.next = (e.next + 1) % callerTimeoutSamples
 	}
-	if p.seen++; p.seen == CallerTimeoutMinSamples || p.seen%callerTimeoutUpdateInterval == 0 {
-		sorted := slices.Sorted(slices.Values(p.samples))
-		p.median = sorted[len(sorted)/2]
+	if e.count++; e.count == CallerTimeoutMinSamples || e.count%callerTimeoutUpdateInterval == 0 {
+		sorted := slices.Sorted(slices.Values(e.samples))
+		e.median = sorted[len(sorted)/2]
 	}
 }
 
-// Waited returns how long ago a caller with a remaining time first asked, 0 if it may ask
-// for the first time. The route's own time counts while nothing better is known.
-func (p *CallerTimeoutEstimator) Waited(remaining, timeout time.Duration) time.Duration {
-	usual := p.median
-	if p.seen < CallerTimeoutMinSamples {
-		usual = timeout
+// Waited returns how long ago the caller of a request with a remaining time sent its first request; 0 if this may be
+// the first one. It uses the timeout of the route until there are CallerTimeoutMinSamples.
+func (e *CallerTimeoutEstimator) Waited(remaining, timeout time.Duration) time.Duration {
+	typical := e.median
+	if e.count < CallerTimeoutMinSamples {
+		typical = timeout
 	}
-	if float64(remaining) >= retryTimeoutRatio*float64(usual) {
+	if float64(remaining) >= retryTimeoutRatio*float64(typical) {
 		return 0
 	}
-	return usual - remaining
+	return typical - remaining
 }
--- a/pkg/route/content.go
+++ b/pkg/route/content.go
@@ -2,12 +2,12 @@
 
 import "encoding/hex"
 
-// ContentID identifies what a backend server gets of a request, but for what differs each time it is sent: a hash of
-// the method, the host, the path, whose request it is and the body.
+// ContentID identifies the content of a request to a backend server. It is a hash of the method, the host, the path,
+// the caller's organisation or key, and the body, without the parts that differ each time the request is sent.
 type ContentID [32]byte
 
-// contentIDStringBytes is how many bytes of a ContentID are shown: enough to tell the requests of a day apart.
+// contentIDStringBytes is the number of bytes that String shows; enough to distinguish the requests of a day.
 const contentIDStringBytes = 8
 
-// String returns the beginning of the hash in hexadecimal.
+// String returns the first bytes of the hash in hexadecimal.
 func (c ContentID) String() string { return hex.EncodeToString(c[:contentIDStringBytes]) }
--- a/pkg/route/dedup.go
+++ b/pkg/route/dedup.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// RequestID is the caller's id of a request.
+// RequestID identifies a request. It is assigned by the caller.
 type RequestID string
 
-// AttemptID tells the tries of one request apart.
+// AttemptID distinguishes the attempts of a request.
 type AttemptID string
 
-// StartResult is the answer of Once.Start.
+// StartResult is the result of DedupRegistry.Start.
 type StartResult int
 
-// The answers of Once.Start.
+// The results of DedupRegistry.Start.
 const (
 	// StartAllowed means that the attempt may run.
 	StartAllowed StartResult = iota
-	// StartDuplicate means that the request id ran already and must not run again.
+	// StartDuplicate means that the request id has already run and must not run again.
 	StartDuplicate
-	// StartSettled means that the attempt was settled and must not run.
+	// StartSettled means that the attempt was settled as not started and must not run.
 	StartSettled
 )
 
+// dedupEntry is the record of a request id or of an attempt.
 type dedupEntry struct {
-	// attempt is the one that holds a request id.
+	// attempt is the attempt that holds the request id. It is empty in the record of an attempt.
 	attempt AttemptID
 	started bool
 	settled bool
 	at      time.Time
 }
 
-// DedupRegistry remembers request ids on an agent. A request that may not be repeated
-// runs at most once on this process within the window, and an attempt that was
-// settled as not started never starts. With Claim a second agent is made a
-// witness, so that the id does not run again after one of the two is gone.
-// Memory is bounded by the window.
+// DedupRegistry records request ids and attempts on an agent for a deduplication window. Within the window, a request
+// that is not repeatable runs at most once in this process, and an attempt that was settled as not started never
+// starts. Claim makes a second agent a witness, so that the id does not run again if one of the two agents fails. The
+// window bounds the memory use. DedupRegistry is safe for concurrent use.
 type DedupRegistry struct {
 	window time.Duration
 
@@ -46,7 +46,7 @@
 	lastSweep time.Time
 }
 
-// NewDedupRegistry returns a registry that remembers for at least window.
+// NewDedupRegistry returns a registry that keeps records for at least window.
 func NewDedupRegistry(window time.Duration) *DedupRegistry {
 	return &DedupRegistry{
 		window:   window,
@@ -55,97 +55,98 @@
 	}
 }
 
-// Start asks to run an attempt. A repeatable request may run under its id again.
-func (o *DedupRegistry) Start(request RequestID, attempt AttemptID, repeatable bool, now time.Time) StartResult {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.sweep(now)
-	if held, ok := o.attempts[attempt]; ok {
-		if held.settled {
+// Start records the start of an attempt if the attempt may run. A repeatable request may run several times under its
+// id.
+func (r *DedupRegistry) Start(request RequestID, attempt AttemptID, repeatable bool, now time.Time) StartResult {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.sweep(now)
+	if entry, ok := r.attempts[attempt]; ok {
+		if entry.settled {
 			return StartSettled
 		}
 		return StartDuplicate
 	}
 	if !repeatable {
-		if !o.claim(request, attempt, now) {
+		if !r.claim(request, attempt, now) {
 			return StartDuplicate
 		}
 	}
-	o.attempts[attempt] = dedupEntry{started: true, at: now}
+	r.attempts[attempt] = dedupEntry{started: true, at: now}
 	return StartAllowed
 }
 
-// Claim holds a request id for an attempt that is about to run on another agent.
-// It reports false if another attempt holds the id here, running or claimed.
-func (o *DedupRegistry) Claim(request RequestID, attempt AttemptID, now time.Time) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.sweep(now)
-	return o.claim(request, attempt, now)
+// Claim reserves a request id for an attempt that is about to run on another agent. It returns false if another attempt
+// holds the id on this agent, whether that attempt runs here or elsewhere.
+func (r *DedupRegistry) Claim(request RequestID, attempt AttemptID, now time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.sweep(now)
+	return r.claim(request, attempt, now)
 }
 
-// Release gives up a claim whose attempt did not run.
-func (o *DedupRegistry) Release(request RequestID, attempt AttemptID) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.requests[request].attempt == attempt {
-		delete(o.requests, request)
+// Release removes the claim of an attempt that did not run.
+func (r *DedupRegistry) Release(request RequestID, attempt AttemptID) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.requests[request].attempt == attempt {
+		delete(r.requests, request)
 	}
 }
 
-func (o *DedupRegistry) claim(request RequestID, attempt AttemptID, now time.Time) bool {
-	if held, ok := o.requests[request]; ok && held.attempt != attempt {
+func (r *DedupRegistry) claim(request RequestID, attempt AttemptID, now time.Time) bool {
+	if entry, ok := r.requests[request]; ok && entry.attempt != attempt {
 		return false
 	}
-	o.requests[request] = dedupEntry{attempt: attempt, at: now}
+	r.requests[request] = dedupEntry{attempt: attempt, at: now}
 	return true
 }
 
-// Settle reports whether the attempt was started. If it was not, it never will be.
-func (o *DedupRegistry) Settle(attempt AttemptID, now time.Time) (started bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.sweep(now)
-	if held, ok := o.attempts[attempt]; ok {
-		return held.started
+// Settle reports whether the attempt was started. An attempt that was not started can no longer start.
+func (r *DedupRegistry) Settle(attempt AttemptID, now time.Time) (started bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.sweep(now)
+	if entry, ok := r.attempts[attempt]; ok {
+		return entry.started
 	}
-	o.attempts[attempt] = dedupEntry{settled: true, at: now}
+	r.attempts[attempt] = dedupEntry{settled: true, at: now}
 	return false
 }
 
-// Abandon takes back a start whose work was surely never handed on. The request
-// may run elsewhere, or here under another attempt; this attempt never will.
-func (o *DedupRegistry) Abandon(request RequestID, attempt AttemptID, now time.Time) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.requests[request].attempt == attempt {
-		delete(o.requests, request)
+// Abandon reverts the start of an attempt that has certainly not reached the backend server. The request may run on
+// another agent, or on this one under another attempt. The abandoned attempt can no longer start.
+func (r *DedupRegistry) Abandon(request RequestID, attempt AttemptID, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.requests[request].attempt == attempt {
+		delete(r.requests, request)
 	}
-	o.attempts[attempt] = dedupEntry{settled: true, at: now}
+	r.attempts[attempt] = dedupEntry{settled: true, at: now}
 }
 
-// Len returns how many ids are remembered.
-func (o *DedupRegistry) Len() int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return len(o.requests) + len(o.attempts)
+// Len returns the number of recorded request ids and attempts.
+func (r *DedupRegistry) Len() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.requests) + len(r.attempts)
 }
 
-// sweep forgets what is older than the window, at most once a window, so that
-// an id is kept between one and two windows.
-func (o *DedupRegistry) sweep(now time.Time) {
-	if now.Sub(o.lastSweep) < o.window {
+// sweep deletes the records that are older than the window. It runs at most once per window, so a record is kept for
+// one to two windows.
+func (r *DedupRegistry) sweep(now time.Time) {
+	if now.Sub(r.lastSweep) < r.window {
 		return
 	}
-	o.lastSweep = now
-	for id, entry := range o.requests {
-		if now.Sub(entry.at) > o.window {
-			delete(o.requests, id)
+	r.lastSweep = now
+	for id, entry := range r.requests {
+		if now.Sub(entry.at) > r.window {
+			delete(r.requests, id)
 		}
 	}
-	for id, entry := range o.attempts {
-		if now.Sub(entry.at) > o.window {
-			delete(o.attempts, id)
+	for id, entry := range r.attempts {
+		if now.Sub(entry.at) > r.window {
+			delete(r.attempts, id)
 		}
 	}
 }
--- a/pkg/route/limit.go
+++ b/pkg/route/limit.go
@@ -9,12 +9,14 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// A server's rate limit applies to the requests of all entry boxes together. Each box keeps a token bucket per limited server and
-// takes from it both for its own requests and for those that other boxes report. Boxes that have not yet received a report may use
-// the same token again; the bucket then goes negative and all boxes wait until it is refilled. The limit therefore holds over any
-// period longer than the reporting delay, and needs neither the number of boxes nor synchronized clocks.
-
-// ErrRateLimited reports that a server whose rate limit was set or lowered after the place was reserved has no token available.
+// A server's rate limit applies to the requests of all entry boxes together. Each box keeps a token bucket per limited
+// server and takes from it both for its own requests and for those that other boxes report. Boxes that have not yet
+// received a report may use the same token again; the bucket then goes negative and all boxes wait until it is
+// refilled. The limit therefore holds over any period longer than the reporting delay, and needs neither the number of
+// boxes nor synchronized clocks.
+
+// ErrLimited reports that a server whose rate limit was set or lowered after the slot was reserved has no token
+// available.
 var ErrLimited = errors.New("server rate limit reached")
 
 const (
@@ -22,15 +24,15 @@
 	probeRate = 0.05
 	// maxBurstTime is how long unused tokens accumulate.
 	maxBurstTime = 600 * time.Millisecond
-	// maxDebtTime bounds the pause in sending after other boxes report many requests: the first report of a box contains all
-	// requests that it has sent.
+	// maxDebtTime limits how long sending pauses after other boxes report many requests, as the first report of a box
+	// counts all requests that it has sent.
 	maxDebtTime = 4 * time.Second
 	// limitedSample is the number of rate-limited servers that are considered for one request.
 	limitedSample = 4
 	// limitedCostMargin is how much higher the cost of a rate-limited server may be for it still to be preferred.
 	limitedCostMargin = 0.25
-	// maxUrgentRate is the highest rate at which each request is reported to other boxes at once. At low rates, a few excess
-	// requests already exceed the limit by a large factor.
+	// maxUrgentRate is the highest rate at which each request is reported to other boxes at once. At low rates, a few
+	// excess requests already exceed the limit by a large factor.
 	maxUrgentRate = 20
 )
 
@@ -51,17 +53,20 @@
 	return &tokenBucket{refilled: now, peerSent: make(map[member.BoxID]uint32)}
 }
 
+// setRate sets the rate, which is at least probeRate.
 func (b *tokenBucket) setRate(perSecond float64, now time.Time) {
 	b.refill(now)
 	b.rate = max(probeRate, perSecond)
 	b.tokens = min(b.tokens, b.capacity())
 }
 
+// capacity returns the maximum number of tokens.
 func (b *tokenBucket) capacity() float64 { return 1 + b.rate*maxBurstTime.Seconds() }
 
+// refill adds the tokens for the time since the last refill.
 func (b *tokenBucket) refill(now time.Time) {
-	if passed := now.Sub(b.refilled); passed > 0 {
-		b.tokens = min(b.capacity(), b.tokens+b.rate*passed.Seconds())
+	if elapsed := now.Sub(b.refilled); elapsed > 0 {
+		b.tokens = min(b.capacity(), b.tokens+b.rate*elapsed.Seconds())
 		b.refilled = now
 	}
 }
@@ -79,8 +84,8 @@
 	b.sent++
 }
 
-// takePeer uses tokens for the requests that another box has sent since its last report. A lower count than before means that the
-// box has restarted.
+// takePeer uses tokens for the requests that another box has sent since its last report. A lower count than before
+// means that the box has restarted.
 func (b *tokenBucket) takePeer(box member.BoxID, sent uint32, now time.Time) {
 	before := b.peerSent[box]
 	b.peerSent[box] = sent
@@ -119,9 +124,9 @@
 	if len(d.buckets) == 0 {
 		return
 	}
-	for id, told := range load {
-		if bucket := d.buckets[id]; bucket != nil && told.Sent > 0 {
-			bucket.takePeer(box, told.Sent, now)
+	for id, reported := range load {
+		if bucket := d.buckets[id]; bucket != nil && reported.Sent > 0 {
+			bucket.takePeer(box, reported.Sent, now)
 		}
 	}
 }
@@ -137,8 +142,8 @@
 	}
 }
 
-// checkLimit takes a token if the server's rate limit was set or lowered since the last token was taken for the reservation. It
-// returns ErrRateLimited if none is available.
+// checkLimit takes a token if the server's rate limit was set or lowered since the last token was taken for the
+// reservation. It returns ErrLimited if none is available.
 func (r *Reservation) checkLimit(now time.Time) error {
 	bucket := r.dispatcher.buckets[r.Server.ID]
 	if bucket == nil || r.tokenRate > 0 && r.tokenRate <= bucket.rate {
@@ -153,18 +158,18 @@
 
 // maxRate returns the highest request rate that a server can run.
 func (d *Dispatcher) maxRate(b *backend) float64 {
-	most := float64(d.slots(b)) / d.typicalHoldTime.Seconds()
+	rate := float64(d.slots(b)) / d.typicalHoldTime.Seconds()
 	if bucket := d.buckets[b.server.ID]; bucket != nil {
-		return min(most, bucket.rate)
+		return min(rate, bucket.rate)
 	}
-	return most
+	return rate
 }
 
-// pickLimited returns the rate-limited candidate with the lowest cost, unless the cost exceeds that of the other candidates by more
-// than limitedCostMargin. Rate-limited servers are preferred because unused tokens expire. As others, the number of competing
-// requests of other boxes, may use the same tokens, each limited candidate is kept at random so that about one request takes each
-// token; those that are not kept are removed from the candidates.
-func (d *Dispatcher) pickLimited(others float64) *backend {
+// pickLimited returns the rate-limited candidate with the lowest cost, unless that exceeds the lowest cost of the other
+// candidates by more than limitedCostMargin. Rate-limited servers are preferred because unused tokens expire. Requests
+// of other boxes, whose number is competitors, may use the same tokens. Each rate-limited candidate is therefore kept
+// at random, so that about one request takes each token, and is removed from the candidates otherwise.
+func (d *Dispatcher) pickLimited(competitors float64) *backend {
 	if len(d.buckets) == 0 {
 		return nil
 	}
@@ -174,7 +179,7 @@
 		switch {
 		case d.buckets[c.backend.server.ID] == nil:
 			other = min(other, c.cost)
-		case d.random()*(others+1) >= c.room:
+		case d.random()*(competitors+1) >= c.room:
 			continue
 		case c.cost < limited.cost:
 			limited = c
@@ -191,12 +196,12 @@
 // LimitedServer is the state of a server with a rate limit.
 type LimitedServer struct {
 	Server fleet.ServerID
-	// PerSecond is the rate at which tokens are added. Tokens is the number of requests that may be sent now; it is negative after
-	// too many were sent.
+	// PerSecond is the rate at which tokens are added. Tokens is the number of requests that may be sent now; it is
+	// negative after too many were sent.
 	PerSecond, Tokens float64
-	// Sent is the number of requests that this box has sent since it learned of the limit.
+	// Sent is the number of requests that this box has sent since it received the limit.
 	Sent uint32
-	// SentByOthers is the total that other boxes last reported.
+	// SentByOthers is the sum of the numbers that other boxes reported last.
 	SentByOthers uint64
 }
 
--- a/pkg/route/limit_test.go
+++ b/pkg/route/limit_test.go
@@ -18,7 +18,7 @@
 	return server
 }
 
-// newLimitedDispatcher returns a plainDispatcher with a seeded random source.
+// newLimitedDispatcher returns a plainDispatcher with a seeded source of random numbers.
 func newLimitedDispatcher(t *testing.T, servers ...fleet.Server) *plainDispatcher {
 	t.Helper()
 	w := newPlainDispatcher(t)
@@ -27,67 +27,68 @@
 	return w
 }
 
-// serveFor submits a request every 10 ms, completes it at once and returns the number of requests that each server received.
-func (w *plainDispatcher) serveFor(duration time.Duration) (served map[fleet.ServerID]int, refused int) {
+// serveFor submits a request every 10 ms and completes it immediately. It returns the number of requests that each
+// server received and the number of requests that were rejected.
+func (w *plainDispatcher) serveFor(duration time.Duration) (served map[fleet.ServerID]int, rejected int) {
 	served = make(map[fleet.ServerID]int)
 	for end := w.now.Add(duration); w.now.Before(end); w.now = w.now.Add(10 * time.Millisecond) {
-		place, waiting, err := w.submit()
+		reservation, waiting, err := w.submit()
 		switch {
 		case err != nil:
-			refused++
-		case place == nil:
+			rejected++
+		case reservation == nil:
 			w.d.Cancel(waiting)
-		case place.Check(w.now) == nil:
-			served[place.Server.ID]++
-			place.Started(w.now)
-			place.Release(ResultDone, w.now)
+		case reservation.Check(w.now) == nil:
+			served[reservation.Server.ID]++
+			reservation.Started(w.now)
+			reservation.Release(ResultDone, w.now)
 		default:
-			place.Release(ResultAbandoned, w.now)
+			reservation.Release(ResultAbandoned, w.now)
 		}
 	}
-	return served, refused
+	return served, rejected
 }
 
 func TestLimitedServerGetsItsRateAndOthersTheRemainder(t *testing.T) {
 	for _, perSecond := range []float64{0, 0.05, 0.5, 1.9, 10, 1e6} {
 		w := newLimitedDispatcher(t, limitedServer("a", perSecond), plainServer("b", 1))
-		served, refused := w.serveFor(40 * time.Second)
-		require.Zero(t, refused)
-		most := 40*max(probeRate, perSecond) + 1
-		require.LessOrEqual(t, float64(served["a"]), most, "limit %v", perSecond)
-		require.GreaterOrEqual(t, float64(served["a"]), 0.9*min(most-2, 2000), "limit %v", perSecond)
+		served, rejected := w.serveFor(40 * time.Second)
+		require.Zero(t, rejected)
+		maxServed := 40*max(probeRate, perSecond) + 1
+		require.LessOrEqual(t, float64(served["a"]), maxServed, "limit %v", perSecond)
+		require.GreaterOrEqual(t, float64(served["a"]), 0.9*min(maxServed-2, 2000), "limit %v", perSecond)
 	}
 }
 
-// Guards against a limit of 0 that is never detected as lifted.
+// Guards against never detecting that a limit of 0 has been lifted.
 func TestServerWithRateLimitOfZeroIsProbed(t *testing.T) {
 	w := newLimitedDispatcher(t, limitedServer("a", 0))
-	served, refused := w.serveFor(100 * time.Second)
+	served, rejected := w.serveFor(100 * time.Second)
 	require.InDelta(t, 100*probeRate, served["a"], 1)
-	require.Greater(t, refused, 9000, "all other requests are refused at once")
+	require.Greater(t, rejected, 9000, "all other requests are rejected immediately")
 }
 
 func TestCheckFailsIfServerBecameLimitedAfterReservation(t *testing.T) {
 	w := newLimitedDispatcher(t, plainServer("a", 1))
-	place := w.acquire()
+	reservation := w.acquire()
 	w.setServers(limitedServer("a", 2))
-	require.ErrorIs(t, place.Check(w.now), ErrLimited)
+	require.ErrorIs(t, reservation.Check(w.now), ErrLimited)
 	w.now = w.now.Add(500 * time.Millisecond)
-	require.NoError(t, place.Check(w.now))
-	other := &Reservation{Server: place.Server, dispatcher: w.d}
+	require.NoError(t, reservation.Check(w.now))
+	other := &Reservation{Server: reservation.Server, dispatcher: w.d}
 	require.ErrorIs(t, other.Check(w.now), ErrLimited, "the first request took the token")
 }
 
 func TestCheckTakesAnotherTokenWhenRateLimitIsLowered(t *testing.T) {
 	w := newLimitedDispatcher(t, limitedServer("a", 10))
 	w.now = w.now.Add(time.Second)
-	place := w.acquire()
-	require.NoError(t, place.Check(w.now))
+	reservation := w.acquire()
+	require.NoError(t, reservation.Check(w.now))
 	w.setServers(limitedServer("a", 20))
-	require.NoError(t, place.Check(w.now))
+	require.NoError(t, reservation.Check(w.now))
 	w.setServers(limitedServer("a", 0))
 	w.d.buckets["a"].tokens = 0
-	require.ErrorIs(t, place.Check(w.now), ErrLimited)
+	require.ErrorIs(t, reservation.Check(w.now), ErrLimited)
 }
 
 func TestRequestsOfOtherBoxesCountTowardsRateLimit(t *testing.T) {
@@ -144,18 +145,18 @@
 	require.Positive(t, busy.RetryAfter)
 }
 
-// Guards against refusing a returning caller while the load is below the rate limit.
+// Guards against rejecting a retry while the load is below the rate limit.
 func TestRetryIsServedBelowRateLimit(t *testing.T) {
 	w := newLimitedDispatcher(t, limitedServer("a", 20))
 	for range 50 {
 		w.now = w.now.Add(200 * time.Millisecond)
-		place, _, err := w.d.Submit(&SlotRequest{
+		reservation, _, err := w.d.Submit(&SlotRequest{
 			Arrived: w.now, Objective: w.now.Add(-time.Second), Deadline: w.now.Add(4 * time.Second), Retry: true,
 		}, nil, w.now)
 		require.NoError(t, err)
-		require.NotNil(t, place)
-		place.Started(w.now)
-		place.Release(ResultDone, w.now)
+		require.NotNil(t, reservation)
+		reservation.Started(w.now)
+		reservation.Release(ResultDone, w.now)
 	}
 }
 
--- a/pkg/route/quarantine.go
+++ b/pkg/route/quarantine.go
@@ -12,139 +12,142 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// A request may end each backend server that begins to run it, and come again with another id at any entry box. What
-// is known of it must outlast the attempt, the request and the box, or it ends one server after the other, and with each
-// the answers of all others that run there. Of the many that were on a server as it ended one is to blame at most, so
-// an end is a suspicion; one answer shows that it was not the request.
+// A request may cause every backend server that starts to run it to exit, and may be submitted again with another id at
+// any entry box. The evidence must therefore outlast the attempt, the request and the box. Otherwise the request takes
+// down one server after another, together with the responses to all other requests on these servers. At most one of the
+// requests on a server is the cause of its exit, so an exit only makes a request suspect; one response shows that it
+// was not the cause.
 
-// ErrQuarantined reports a request that is not sent to any server, as those that began to run it have ended.
-var ErrQuarantined = errors.New("backend servers that began to run this request have ended")
+// ErrQuarantined reports that a request is not sent to any server because servers have exited under it.
+var ErrQuarantined = errors.New("request is quarantined: backend servers exited while starting to run it")
 
 const (
-	// exitsToBlock is how many starts of servers must have ended under a request to bar it whatever else ran there.
+	// exitsToBlock is the number of exits under a request that block it, whatever other requests were on the servers.
 	exitsToBlock = 3
-	// exitsToBlockAlone is the same for one that alone explains every end since its first.
+	// exitsToBlockAlone is the number of exits that block a request if it alone explains all of them.
 	exitsToBlockAlone = 2
-	// aloneLookback is for how long before its first end no server may have ended without it, or servers end by themselves.
+	// aloneLookback is the period before the first exit under a request in which no server may have exited without the
+	// request. Such an exit shows that servers also exit for other reasons.
 	aloneLookback = 10 * time.Second
-	// settleDelay is for how long after an end it is waited for what other boxes have to say of it: they tell it at once.
+	// settleDelay is how long evidence of other boxes on an exit may take to arrive. Boxes report evidence immediately.
 	settleDelay = 150 * time.Millisecond
-	// suspectTime is how long a request stays suspect under which one server has ended.
+	// suspectTime is how long a request that is not responsible for the exits remains suspect after the last one.
 	suspectTime = time.Minute
-	// blockInitial is for how long a request is barred at first. It grows by blockGrowth with each further end, up to
-	// blockMax, so that one that never changes ends few servers in all.
+	// blockInitial is the duration of the first block. It is multiplied by blockGrowth for each exit beyond
+	// exitsToBlock, up to blockMax, so that a request that causes every server to exit takes down few servers in total.
 	blockInitial = 10 * time.Minute
 	blockGrowth  = 8
 	blockMax     = 7 * 24 * time.Hour
-	// unblockedRetention is how long after a bar its request stays known.
+	// unblockedRetention is how long a request is kept after its block has ended.
 	unblockedRetention = 24 * time.Hour
-	// maxContents bounds the requests that are known. Beyond it those go first of which least is known.
+	// maxContents is the maximum number of requests kept. Beyond it, those with the fewest exits are evicted first.
 	maxContents = 1024
-	// expireInterval is how often at most is looked for requests of which nothing is of use any more.
+	// expireInterval is the minimum interval between two removals of expired requests.
 	expireInterval = 5 * time.Second
-	// maxExitsPerContent bounds the ends that are known of one request; more would not bar it for longer.
+	// maxExitsPerContent is the maximum number of exits kept for a request; more would not block it for longer.
 	maxExitsPerContent = 8
 )
 
-// ServerIncarnation is one start of a backend server.
+// ServerIncarnation identifies one incarnation of a backend server.
 type ServerIncarnation struct {
 	Server fleet.ServerID
-	// Incarnation is which start it is; 0 where the platform does not tell starts.
+	// Incarnation is 0 if the platform does not report incarnations.
 	Incarnation member.Incarnation
-	// UnreportedRestarts counts the starts since that one of which nobody was told: while the platform's store is away a server may start
-	// again under its id, and end once more.
+	// UnreportedRestarts is the number of later restarts that were not reported. While the platform's store is
+	// unavailable, a server may restart under the same id and exit again.
 	UnreportedRestarts uint32
 }
 
-// Evidence is what one box has seen of a request.
+// Evidence is an observation of one box about a request.
 type Evidence struct {
 	Content ContentID
-	// Exited is the start of a server that ended as it began to run the request; zero if a server has run the request well,
-	// or an operator has lifted its bar.
+	// Exited is the incarnation that exited when it started to run the request. It is zero if a server has run the
+	// request successfully, or if an operator has unblocked it.
 	Exited ServerIncarnation
-	// At is when that was.
+	// At is the time of the observation.
 	At time.Time
 }
 
-// isExit reports whether the evidence speaks against the request.
+// isExit reports whether a server has exited under the request.
 func (e *Evidence) isExit() bool { return e.Exited != ServerIncarnation{} }
 
-// Decision is what may be done with a request.
+// Decision states whether and how a request may be sent to a server.
 type Decision struct {
-	// Suspect is set if a server may have ended because of it: it goes to no server that has another suspect.
+	// Suspect is set if a server may have exited because of the request. It must not be sent to a server that has
+	// another suspect request.
 	Suspect bool
-	// Blocked is set if it must not be sent to any server, until BlockedUntil.
+	// Blocked is set if the request must not be sent to any server until BlockedUntil.
 	Blocked      bool
 	BlockedUntil time.Time
-	// SettlesAt is until when more may be heard of the last end, if that is still to come.
+	// SettlesAt is the time until which evidence of other boxes on the last exit may arrive. It may be in the past.
 	SettlesAt time.Time
-	// Exits is how many servers have ended under it.
+	// Exits is the number of incarnations that have exited under the request.
 	Exits int
 }
 
-// Quarantine knows the requests under which backend servers have ended. Its zero value knows none. It is safe for
-// concurrent use.
+// Quarantine keeps the requests under which backend servers have exited. Its zero value is empty and ready to use. It
+// is safe for concurrent use.
 //
 // # Usage
 //
-//	if verdict := quarantine.Judge(content, now); verdict.Barred { ... } // refuse it
+//	if decision := quarantine.Evaluate(content, now); decision.Blocked { ... } // reject the request
 //	...
-//	quarantine.Take(Evidence{Content: content, Ended: start, At: now}, now) // the server ended
-//	quarantine.Take(Evidence{Content: content, At: now}, now)               // the server has answered
+//	quarantine.Record(Evidence{Content: content, Exited: incarnation, At: now}, now) // the server exited
+//	quarantine.Record(Evidence{Content: content, At: now}, now)                      // the server responded
 //	...
-//	evidence, told = quarantine.Since(told) // what to tell other boxes
+//	evidence, cursor = quarantine.Since(cursor) // report the evidence to other boxes
 type Quarantine struct {
-	// requestCount is how many requests there are, to be asked without the lock.
+	// requestCount is the length of requests. It can be read without the lock.
 	requestCount atomic.Int64
 
 	mu       sync.Mutex
 	requests map[ContentID]*suspect
-	// exitedAt are the servers that have ended within blockInitial, also those whose requests have been cleared since.
+	// exitedAt contains the exits within blockInitial, including those under requests that have been cleared since.
 	exitedAt map[ServerIncarnation]time.Time
-	// changes is that of the newest change.
+	// changes is the number of changes so far.
 	changes uint64
-	// lastExpiry is when was last looked for what is of no use any more.
+	// lastExpiry is when expired requests were last removed.
 	lastExpiry time.Time
 }
 
-// suspect is what is known of one request.
+// suspect is the evidence on one request.
 type suspect struct {
-	// exits are sorted by their time.
+	// exits are sorted by time.
 	exits []exit
-	// clearedAt is when a server had last run it well; zero if none has.
+	// clearedAt is the time of the last successful run that cleared exits; zero if there was none.
 	clearedAt time.Time
-	// lastChange orders the requests as something new was heard of them.
+	// lastChange is the value of Quarantine.changes when the request last changed.
 	lastChange uint64
 }
 
-// exit is the end of one start of a server.
+// exit is the exit of one incarnation of a server.
 type exit struct {
 	incarnation ServerIncarnation
 	at          time.Time
 }
 
-// Empty reports whether no request is known, so that none need be judged.
+// Empty reports whether the quarantine contains no request, so that Evaluate need not be called.
 func (q *Quarantine) Empty() bool { return q.requestCount.Load() == 0 }
 
-// Record takes evidence and reports whether it is news, which other boxes are to be told.
-func (q *Quarantine) Record(seen Evidence, now time.Time) bool {
+// Record adds evidence and reports whether it is new, which means that it has to be reported to other boxes.
+func (q *Quarantine) Record(evidence Evidence, now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if seen.isExit() && now.Sub(seen.At) <= blockInitial {
-		q.recordExit(seen.Exited, seen.At, now)
+	if evidence.isExit() && now.Sub(evidence.At) <= blockInitial {
+		q.recordExit(evidence.Exited, evidence.At, now)
 	}
-	s := q.requests[seen.Content]
+	s := q.requests[evidence.Content]
 	switch {
-	case !seen.isExit():
-		if s == nil || !s.clear(seen.At) {
+	case !evidence.isExit():
+		if s == nil || !s.clear(evidence.At) {
 			return false
 		}
 	case s == nil:
 		q.makeRoom(now)
-		s = &suspect{exits: []exit{{seen.Exited, seen.At}}}
-		q.requests[seen.Content] = s
+		s = &suspect{exits: []exit{{evidence.Exited, evidence.At}}}
+		q.requests[evidence.Content] = s
 		q.requestCount.Store(int64(len(q.requests)))
-	case !s.add(exit{seen.Exited, seen.At}):
+	case !s.add(exit{evidence.Exited, evidence.At}):
 		return false
 	}
 	q.changes++
@@ -152,26 +155,27 @@
 	return true
 }
 
-// IncarnationAt returns the start of a server that a request was sent to at a time. What nobody was told shows by its ends: what a
-// server took after it had ended was taken by a later start.
-func (q *Quarantine) IncarnationAt(told ServerIncarnation, sent time.Time) ServerIncarnation {
+// IncarnationAt returns the incarnation that received a request sent at a time, given the latest reported incarnation
+// of the server. A request that was sent after the exit of an incarnation was received by a later one, even if no
+// restart was reported.
+func (q *Quarantine) IncarnationAt(reported ServerIncarnation, sent time.Time) ServerIncarnation {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for {
-		ended, isKnown := q.exitedAt[told]
-		if !isKnown || !sent.After(ended) {
-			return told
+		exitedAt, isKnown := q.exitedAt[reported]
+		if !isKnown || !sent.After(exitedAt) {
+			return reported
 		}
-		told.UnreportedRestarts++
+		reported.UnreportedRestarts++
 	}
 }
 
-// recordExit notes the end of a server.
-func (q *Quarantine) recordExit(start ServerIncarnation, at, now time.Time) {
+// recordExit records the exit of an incarnation.
+func (q *Quarantine) recordExit(incarnation ServerIncarnation, at, now time.Time) {
 	if q.exitedAt == nil {
 		q.exitedAt = make(map[ServerIncarnation]time.Time)
 	}
-	if _, isKnown := q.exitedAt[start]; isKnown {
+	if _, isKnown := q.exitedAt[incarnation]; isKnown {
 		return
 	}
 	for other, known := range q.exitedAt {
@@ -179,10 +183,10 @@
 			delete(q.exitedAt, other)
 		}
 	}
-	q.exitedAt[start] = at
+	q.exitedAt[incarnation] = at
 }
 
-// clear forgets the ends up to a moment at which a server had run the request well; false if there were none.
+// clear removes the exits up to the time of a successful run. It returns false if there were none.
 func (s *suspect) clear(at time.Time) bool {
 	before := len(s.exits)
 	s.exits = slices.DeleteFunc(s.exits, func(e exit) bool { return !e.at.After(at) })
@@ -193,7 +197,8 @@
 	return true
 }
 
-// add notes an end; false if it is known, or older than what has cleared the request.
+// add adds an exit. It returns false if the exit is known, is not after the run that cleared the request, or exceeds
+// maxExitsPerContent.
 func (s *suspect) add(next exit) bool {
 	if s.hasExited(next.incarnation) || !next.at.After(s.clearedAt) || len(s.exits) >= maxExitsPerContent {
 		return false
@@ -203,7 +208,7 @@
 	return true
 }
 
-// last returns the newest end; zero if there is none.
+// last returns the latest exit; zero if there is none.
 func (s *suspect) last() exit {
 	if len(s.exits) == 0 {
 		return exit{}
@@ -211,27 +216,28 @@
 	return s.exits[len(s.exits)-1]
 }
 
-// blockDuration is for how long after its last end a request is barred.
+// blockDuration returns how long the request is blocked after its last exit if it is responsible.
 func (s *suspect) blockDuration() time.Duration {
-	bar := blockInitial
+	duration := blockInitial
 	for range len(s.exits) - exitsToBlock {
-		bar = min(blockMax, bar*blockGrowth)
+		duration = min(blockMax, duration*blockGrowth)
 	}
-	return bar
+	return duration
 }
 
-// isExpired reports whether nothing that is known of the request is of use any more, by whether it is to blame.
-func (s *suspect) isExpired(isToBlame bool, now time.Time) bool {
+// isExpired reports whether the evidence on the request can be deleted, given whether the request is responsible for
+// the exits.
+func (s *suspect) isExpired(isResponsible bool, now time.Time) bool {
 	switch {
 	case len(s.exits) == 0:
 		return now.Sub(s.clearedAt) > suspectTime
-	case !isToBlame:
+	case !isResponsible:
 		return now.Sub(s.last().at) > suspectTime
 	}
 	return now.Sub(s.last().at) > s.blockDuration()+unblockedRetention
 }
 
-// isResponsible reports whether the servers that have ended under a request have ended because of it.
+// isResponsible reports whether a request is considered the cause of the exits under it.
 func (q *Quarantine) isResponsible(content ContentID, s *suspect, now time.Time) bool {
 	if len(s.exits) >= exitsToBlock {
 		return true
@@ -239,7 +245,7 @@
 	return len(s.exits) >= exitsToBlockAlone && !now.Before(s.last().at.Add(settleDelay)) && q.explainsAllExits(content, s)
 }
 
-// Expire forgets the requests of which nothing is of use any more, now and then.
+// Expire removes expired requests, at most once per expireInterval.
 func (q *Quarantine) Expire(now time.Time) {
 	if q.Empty() {
 		return
@@ -262,7 +268,7 @@
 	q.requestCount.Store(int64(len(q.requests)))
 }
 
-// makeRoom makes room for one more request.
+// makeRoom expires and evicts requests until one more can be added.
 func (q *Quarantine) makeRoom(now time.Time) {
 	if q.requests == nil {
 		q.requests = make(map[ContentID]*suspect)
@@ -275,19 +281,19 @@
 	}
 }
 
-// evictLeast forgets the request of which least is known; of those, the one that was heard of first.
+// evictLeast removes the request with the fewest exits; among several, the one that changed least recently.
 func (q *Quarantine) evictLeast() {
 	var least ContentID
-	var known *suspect
+	var leastSuspect *suspect
 	for content, s := range q.requests {
-		if known == nil || cmp.Or(cmp.Compare(len(s.exits), len(known.exits)), cmp.Compare(s.lastChange, known.lastChange)) < 0 {
-			least, known = content, s
+		if leastSuspect == nil || cmp.Or(cmp.Compare(len(s.exits), len(leastSuspect.exits)), cmp.Compare(s.lastChange, leastSuspect.lastChange)) < 0 {
+			least, leastSuspect = content, s
 		}
 	}
 	delete(q.requests, least)
 }
 
-// Evaluate returns what may be done with a request now.
+// Evaluate decides whether and how a request may be sent now.
 func (q *Quarantine) Evaluate(content ContentID, now time.Time) Decision {
 	if q.Empty() {
 		return Decision{}
@@ -298,23 +304,24 @@
 	if s == nil || len(s.exits) == 0 {
 		return Decision{}
 	}
-	isToBlame := q.isResponsible(content, s, now)
-	if s.isExpired(isToBlame, now) {
+	isResponsible := q.isResponsible(content, s, now)
+	if s.isExpired(isResponsible, now) {
 		return Decision{}
 	}
-	verdict := Decision{Suspect: true, Exits: len(s.exits), SettlesAt: s.last().at.Add(settleDelay)}
-	if until := s.last().at.Add(s.blockDuration()); isToBlame && now.Before(until) {
-		verdict.Blocked, verdict.BlockedUntil = true, until
+	decision := Decision{Suspect: true, Exits: len(s.exits), SettlesAt: s.last().at.Add(settleDelay)}
+	if until := s.last().at.Add(s.blockDuration()); isResponsible && now.Before(until) {
+		decision.Blocked, decision.BlockedUntil = true, until
 	}
-	return verdict
+	return decision
 }
 
-// explainsAllExits reports whether every server that ended between the first and the last end of a request, and some time
-// before, ended under it, and no other request was on all of these servers. What ends later says nothing of it.
+// explainsAllExits reports whether a request alone explains all exits from aloneLookback before its first exit until
+// settleDelay after its last one: each of these exits was under the request, and no other request is recorded under all
+// exits of this request. Later exits are no evidence for or against it.
 func (q *Quarantine) explainsAllExits(content ContentID, s *suspect) bool {
 	from, to := s.exits[0].at.Add(-aloneLookback), s.last().at.Add(settleDelay)
-	for start, at := range q.exitedAt {
-		if at.After(from) && at.Before(to) && !s.hasExited(start) {
+	for incarnation, at := range q.exitedAt {
+		if at.After(from) && at.Before(to) && !s.hasExited(incarnation) {
 			return false
 		}
 	}
@@ -326,22 +333,22 @@
 	return true
 }
 
-// hasExited reports whether a start of a server is one that ended under the request.
-func (s *suspect) hasExited(start ServerIncarnation) bool {
-	return slices.ContainsFunc(s.exits, func(e exit) bool { return e.incarnation == start })
+// hasExited reports whether an incarnation has exited under the request.
+func (s *suspect) hasExited(incarnation ServerIncarnation) bool {
+	return slices.ContainsFunc(s.exits, func(e exit) bool { return e.incarnation == incarnation })
 }
 
-// Since returns what is known of the requests of which something was heard after a number of changes, the oldest
-// first, and how many there are now.
-func (q *Quarantine) Since(told uint64) (evidence []Evidence, now uint64) {
+// Since returns the evidence on all requests that have changed after a cursor, the least recent change first, and the
+// new cursor. The first cursor is 0.
+func (q *Quarantine) Since(cursor uint64) (evidence []Evidence, next uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if told == q.changes {
-		return nil, told
+	if cursor == q.changes {
+		return nil, cursor
 	}
 	var contents []ContentID
 	for content, s := range q.requests {
-		if s.lastChange > told {
+		if s.lastChange > cursor {
 			contents = append(contents, content)
 		}
 	}
@@ -358,15 +365,15 @@
 	return evidence, q.changes
 }
 
-// BlockedRequest is a request that is barred.
+// BlockedRequest is a request that must not be sent to any server.
 type BlockedRequest struct {
 	Content ContentID
 	Until   time.Time
-	// Exits are the servers that have ended under it, the first one first.
+	// Exits contains the incarnations that have exited under the request, the earliest exit first.
 	Exits []ServerIncarnation
 }
 
-// Blocked returns the requests that are barred, those for longest first.
+// Blocked returns the blocked requests, the latest end of a block first.
 func (q *Quarantine) Blocked(now time.Time) []BlockedRequest {
 	q.mu.Lock()
 	contents := make([]ContentID, 0, len(q.requests))
@@ -374,23 +381,24 @@
 		contents = append(contents, content)
 	}
 	q.mu.Unlock()
-	var held []BlockedRequest
+	var blocked []BlockedRequest
 	for _, content := range contents {
-		if verdict := q.Evaluate(content, now); verdict.Blocked {
-			held = append(held, BlockedRequest{Content: content, Until: verdict.BlockedUntil, Exits: q.exitsOf(content)})
+		if decision := q.Evaluate(content, now); decision.Blocked {
+			blocked = append(blocked, BlockedRequest{Content: content, Until: decision.BlockedUntil, Exits: q.exitsOf(content)})
 		}
 	}
-	slices.SortFunc(held, func(a, b BlockedRequest) int { return b.Until.Compare(a.Until) })
-	return held
+	slices.SortFunc(blocked, func(a, b BlockedRequest) int { return b.Until.Compare(a.Until) })
+	return blocked
 }
 
-func (q *Quarantine) exitsOf(content ContentID) (starts []ServerIncarnation) {
+// exitsOf returns the incarnations that have exited under a request.
+func (q *Quarantine) exitsOf(content ContentID) (incarnations []ServerIncarnation) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if s := q.requests[content]; s != nil {
 		for _, e := range s.exits {
-			starts = append(starts, e.incarnation)
+			incarnations = append(incarnations, e.incarnation)
 		}
 	}
-	return starts
+	return incarnations
 }
--- a/pkg/route/quarantine_test.go
+++ b/pkg/route/quarantine_test.go
@@ -14,66 +14,72 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// quarantineScript plays one file of the archive.
+// quarantineScript runs one script of testdata/quarantine.txtar.
 type quarantineScript struct {
 	t          *testing.T
 	quarantine Quarantine
 	start      time.Time
 }
 
+// testContent returns the ContentID for a name in a script.
 func testContent(name string) (content ContentID) {
 	copy(content[:], name)
 	return content
 }
 
+// testIncarnation returns the server incarnation for a name in a script.
 func testIncarnation(name string) ServerIncarnation {
 	return ServerIncarnation{Server: fleet.ServerID(name)}
 }
 
-func decisionName(verdict Decision) string {
+// decisionName returns the name of a decision in a script.
+func decisionName(decision Decision) string {
 	switch {
-	case verdict.Blocked:
-		return "barred"
-	case verdict.Suspect:
+	case decision.Blocked:
+		return "blocked"
+	case decision.Suspect:
 		return "suspect"
 	}
 	return "clean"
 }
 
-func (s *quarantineScript) run(words []string) {
-	now := s.at(words[0])
-	content := testContent(words[2])
-	switch words[1] {
-	case "ends":
-		seen := Evidence{Content: content, Exited: testIncarnation(words[3]), At: now}
-		if len(words) > 4 {
-			seen.At = s.at(words[5])
+// run executes one line of a script.
+func (s *quarantineScript) run(fields []string) {
+	now := s.at(fields[0])
+	content := testContent(fields[2])
+	switch fields[1] {
+	case "exit":
+		evidence := Evidence{Content: content, Exited: testIncarnation(fields[3]), At: now}
+		if len(fields) > 4 {
+			evidence.At = s.at(fields[5])
 		}
-		s.quarantine.Record(seen, now)
-	case "runs":
+		s.quarantine.Record(evidence, now)
+	case "success":
 		s.quarantine.Record(Evidence{Content: content, At: now}, now)
-	case "judge":
-		require.Equal(s.t, words[3], decisionName(s.quarantine.Evaluate(content, now)), "%v", words)
-	case "there":
-		there := new(Quarantine)
-		for _, told := range s.evidence() {
-			there.Record(told, now)
+	case "evaluate":
+		require.Equal(s.t, fields[3], decisionName(s.quarantine.Evaluate(content, now)), "%v", fields)
+	case "evaluate-peer":
+		peer := new(Quarantine)
+		for _, evidence := range s.evidence() {
+			peer.Record(evidence, now)
 		}
-		require.Equal(s.t, words[3], decisionName(there.Evaluate(content, now)), "%v", words)
+		require.Equal(s.t, fields[3], decisionName(peer.Evaluate(content, now)), "%v", fields)
 	default:
-		s.t.Fatalf("unknown word in %v", words)
+		s.t.Fatalf("unknown command in %v", fields)
 	}
 }
 
+// evidence returns all evidence that the box reports to others.
 func (s *quarantineScript) evidence() []Evidence {
 	evidence, _ := s.quarantine.Since(0)
 	return evidence
 }
 
+// at returns the time of an offset from the start of the script.
 func (s *quarantineScript) at(text string) time.Time {
-	after, err := time.ParseDuration(text)
+	offset, err := time.ParseDuration(text)
 	require.NoError(s.t, err)
-	return s.start.Add(after)
+	return s.start.Add(offset)
 }
 
 func TestQuarantineScripts(t *testing.T) {
@@ -81,28 +87,28 @@
 	require.NoError(t, err)
 	for _, file := range archive.Files {
 		t.Run(file.Name, func(t *testing.T) {
-			story := &quarantineScript{t: t, start: time.Unix(1000, 0)}
+			script := &quarantineScript{t: t, start: time.Unix(1000, 0)}
 			for line := range strings.Lines(string(file.Data)) {
-				story.run(strings.Fields(line))
+				script.run(strings.Fields(line))
 			}
 		})
 	}
 }
 
-// TestEvidenceExchangeConverges exchanges evidence among three boxes, each message a little late, as
-// ages are told.
+// Guards against boxes that exchange the same evidence endlessly or reach different decisions. The time of an observation
+// shifts a little with each message, as messages contain the age of an observation rather than its time.
 func TestEvidenceExchangeConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		boxes := make([]Quarantine, 3)
 		now := time.Unix(1000, 0)
 		contents := []ContentID{testContent("a"), testContent("b")}
 		for range rapid.IntRange(1, 12).Draw(t, "events") {
-			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
-			seen := Evidence{Content: rapid.SampledFrom(contents).Draw(t, "content"), At: now}
-			if rapid.Bool().Draw(t, "ended") {
-				seen.Exited = testIncarnation(fmt.Sprintf("s%d", rapid.IntRange(0, 4).Draw(t, "server")))
+			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "event gap")) * time.Millisecond)
+			evidence := Evidence{Content: rapid.SampledFrom(contents).Draw(t, "content"), At: now}
+			if rapid.Bool().Draw(t, "exited") {
+				evidence.Exited = testIncarnation(fmt.Sprintf("s%d", rapid.IntRange(0, 4).Draw(t, "server")))
 			}
-			boxes[rapid.IntRange(0, 2).Draw(t, "box")].Record(seen, now)
+			boxes[rapid.IntRange(0, 2).Draw(t, "box")].Record(evidence, now)
 			now = exchangeEvidence(t, boxes, now)
 		}
 		now = now.Add(settleDelay)
@@ -118,42 +124,42 @@
 	})
 }
 
-// exchangeEvidence lets the boxes tell each other all they know until nothing is news any more, and returns the time then.
+// exchangeEvidence reports all evidence of each box to the others until none of it is new, and returns the time then.
 func exchangeEvidence(t *rapid.T, boxes []Quarantine, now time.Time) time.Time {
-	const late = 2 * time.Millisecond
+	const delay = 2 * time.Millisecond
 	for range 10 {
-		isNews := false
+		isNew := false
 		for from := range boxes {
 			evidence, _ := boxes[from].Since(0)
 			for to := range boxes {
-				for _, told := range evidence {
-					told.At = told.At.Add(late)
-					isNews = to != from && boxes[to].Record(told, now) || isNews
+				for _, reported := range evidence {
+					reported.At = reported.At.Add(delay)
+					isNew = to != from && boxes[to].Record(reported, now) || isNew
 				}
 			}
-			now = now.Add(late)
+			now = now.Add(delay)
 		}
-		if !isNews {
+		if !isNew {
 			return now
 		}
 	}
-	t.Fatal("boxes tell each other the same again and again")
+	t.Fatal("evidence is still new after 10 exchanges")
 	return now
 }
 
 func TestEvictionKeepsRequestsWithMoreExits(t *testing.T) {
 	var q Quarantine
 	now := time.Unix(1000, 0)
-	barred := testContent("barred")
+	blocked := testContent("blocked")
 	for i := range exitsToBlock {
-		q.Record(Evidence{Content: barred, Exited: testIncarnation(fmt.Sprintf("first-%d", i)), At: now}, now)
+		q.Record(Evidence{Content: blocked, Exited: testIncarnation(fmt.Sprintf("first-%d", i)), At: now}, now)
 	}
 	for i := range 3 * maxContents {
 		q.Record(Evidence{Content: testContent(fmt.Sprintf("other-%d", i)), Exited: testIncarnation(fmt.Sprintf("s-%d", i)), At: now}, now)
 	}
-	require.True(t, q.Evaluate(barred, now).Blocked)
+	require.True(t, q.Evaluate(blocked, now).Blocked)
 	require.LessOrEqual(t, len(q.requests), maxContents)
-	require.Equal(t, []BlockedRequest{{Content: barred, Until: now.Add(blockInitial), Exits: []ServerIncarnation{testIncarnation("first-0"), testIncarnation("first-1"), testIncarnation("first-2")}}}, q.Blocked(now))
+	require.Equal(t, []BlockedRequest{{Content: blocked, Until: now.Add(blockInitial), Exits: []ServerIncarnation{testIncarnation("first-0"), testIncarnation("first-1"), testIncarnation("first-2")}}}, q.Blocked(now))
 }
 
 func TestQuarantineIsEmptyAfterExpiry(t *testing.T) {
@@ -168,24 +174,24 @@
 
 func TestIsListedIsFalseForUnlistedServer(t *testing.T) {
 	w := newPlainDispatcher(t, plainServer("i-1", 1))
-	place := w.acquire()
-	require.True(t, place.IsListed())
+	reservation := w.acquire()
+	require.True(t, reservation.IsListed())
 	w.setServers(plainServer("i-2", 1))
-	require.False(t, place.IsListed())
+	require.False(t, reservation.IsListed())
 }
 
 func TestRequestSentAfterExitBelongsToLaterIncarnation(t *testing.T) {
 	var q Quarantine
-	now, told := time.Unix(1000, 0), testIncarnation("i-1")
-	ends := func(sent, at time.Time) ServerIncarnation {
-		start := q.IncarnationAt(told, sent)
-		q.Record(Evidence{Content: testContent("a"), Exited: start, At: at}, at)
-		return start
+	now, reported := time.Unix(1000, 0), testIncarnation("i-1")
+	recordExit := func(sent, at time.Time) ServerIncarnation {
+		incarnation := q.IncarnationAt(reported, sent)
+		q.Record(Evidence{Content: testContent("a"), Exited: incarnation, At: at}, at)
+		return incarnation
 	}
-	require.Equal(t, told, ends(now, now.Add(time.Second)))
-	require.Equal(t, told, ends(now.Add(time.Second/2), now.Add(2*time.Second)), "sent before the end, seen late")
-	require.Equal(t, uint32(1), ends(now.Add(2*time.Second), now.Add(3*time.Second)).UnreportedRestarts)
-	require.Equal(t, uint32(2), ends(now.Add(4*time.Second), now.Add(5*time.Second)).UnreportedRestarts)
+	require.Equal(t, reported, recordExit(now, now.Add(time.Second)))
+	require.Equal(t, reported, recordExit(now.Add(time.Second/2), now.Add(2*time.Second)), "sent before the exit, observed later")
+	require.Equal(t, uint32(1), recordExit(now.Add(2*time.Second), now.Add(3*time.Second)).UnreportedRestarts)
+	require.Equal(t, uint32(2), recordExit(now.Add(4*time.Second), now.Add(5*time.Second)).UnreportedRestarts)
 	require.True(t, q.Evaluate(testContent("a"), now.Add(5*time.Second)).Blocked)
 }
 
@@ -193,50 +199,50 @@
 	w := newPlainDispatcher(t, plainServer("i-1", 1), plainServer("i-2", 1))
 	suspects := make(map[fleet.ServerID]int)
 	for range 2 {
-		place, _, err := w.d.Submit(&SlotRequest{Suspect: true, Arrived: w.now, Objective: w.now.Add(time.Second), Deadline: w.now.Add(6 * time.Second)}, func(*Reservation) {}, w.now)
+		reservation, _, err := w.d.Submit(&SlotRequest{Suspect: true, Arrived: w.now, Objective: w.now.Add(time.Second), Deadline: w.now.Add(6 * time.Second)}, func(*Reservation) {}, w.now)
 		require.NoError(t, err)
-		require.NotNil(t, place)
-		suspects[place.Server.ID]++
+		require.NotNil(t, reservation)
+		suspects[reservation.Server.ID]++
 	}
 	require.Equal(t, map[fleet.ServerID]int{"i-1": 1, "i-2": 1}, suspects)
-	require.NotNil(t, w.acquire(), "others go where a suspect is")
+	require.NotNil(t, w.acquire(), "other requests may use a server that has a suspect")
 }
 
 func TestExitedServerIsEjectedImmediately(t *testing.T) {
 	w := newPlainDispatcher(t, plainServer("i-1", 1), plainServer("i-2", 1))
-	place := w.acquire()
-	place.Release(ResultServerExited, w.now)
+	reservation := w.acquire()
+	reservation.Release(ResultServerExited, w.now)
 	served := w.serve(8)
-	require.Zero(t, served[place.Server.ID])
-	require.Equal(t, member.Incarnation(1), place.ServerIncarnation().Incarnation)
+	require.Zero(t, served[reservation.Server.ID])
+	require.Equal(t, member.Incarnation(1), reservation.ServerIncarnation().Incarnation)
 }
 
 func TestQueuedSuspectDoesNotBlockOtherRequests(t *testing.T) {
 	w := newPlainDispatcher(t, plainServer("i-1", 1))
-	submit := func(suspect bool, granted func(*Reservation)) (*Reservation, *QueuedRequest) {
-		place, waiting, err := w.d.Submit(&SlotRequest{Suspect: suspect, Arrived: w.now, Objective: w.now.Add(time.Second), Deadline: w.now.Add(6 * time.Second)}, granted, w.now)
+	submit := func(suspect bool, onGranted func(*Reservation)) (*Reservation, *QueuedRequest) {
+		reservation, waiting, err := w.d.Submit(&SlotRequest{Suspect: suspect, Arrived: w.now, Objective: w.now.Add(time.Second), Deadline: w.now.Add(6 * time.Second)}, onGranted, w.now)
 		require.NoError(t, err)
-		return place, waiting
+		return reservation, waiting
 	}
 	first, _ := submit(true, nil)
 	require.NotNil(t, first)
 	var second, other *Reservation
-	_, waits := submit(true, func(place *Reservation) { second = place })
-	require.NotNil(t, waits, "the only server has a suspect")
-	place, behind := submit(false, func(place *Reservation) { other = place })
-	if place == nil {
-		_, _, err := w.d.Review(behind, w.now)
+	_, waiting := submit(true, func(reservation *Reservation) { second = reservation })
+	require.NotNil(t, waiting, "the only server already has a suspect")
+	reservation, queued := submit(false, func(reservation *Reservation) { other = reservation })
+	if reservation == nil {
+		_, _, err := w.d.Review(queued, w.now)
 		require.NoError(t, err)
-		place = other
+		reservation = other
 	}
-	require.NotNil(t, place, "there are places for others")
+	require.NotNil(t, reservation, "the server has slots for other requests")
 	require.Nil(t, second)
 	first.Release(ResultDone, w.now)
 	require.NotNil(t, second)
 }
 
-// BenchmarkEvaluate asks about a request that is not known while maxContents others are, and about one that has ended two servers, which
-// is compared with all of them.
+// BenchmarkEvaluate evaluates an unknown request while maxContents others are known, and a request with two exits,
+// which is compared with all others.
 func BenchmarkEvaluate(b *testing.B) {
 	var q Quarantine
 	now := time.Unix(1000, 0)
--- a/pkg/route/rejectedcallers.go
+++ b/pkg/route/rejectedcallers.go
@@ -7,81 +7,81 @@
 	"time"
 )
 
-// Who asks for the first time competes for places with those who can still be answered in
-// time; who was sent away before is late, or nearly so. A caller's requests carry other ids
-// each time, so entry boxes know who came back by two things that stay: what is asked, and
-// the moment until which the caller waits. A box remembers whom it has sent away and tells
-// all other boxes, as callers come back to any of them: those of its cell itself, those of
-// other cells through one box of each.
+// A new request competes for slots with the requests that can still meet their objective, while the retry of a rejected
+// caller is late or almost late. A caller uses a new id for each request, so entry boxes recognize a retry by two
+// properties that do not change: the fingerprint of the request, and the time at which the caller times out. As callers
+// may retry at any box, each box records the callers that it rejects and reports them to all other boxes: to those of
+// its own cell directly, and to those of other cells through one box of each cell.
 //
-// The remaining time alone does not tell: callers differ in how long they wait.
+// The remaining time alone does not identify a retry, as timeouts differ among callers.
 
-// Fingerprint identifies what a request asks for: it is the same when its caller asks again.
+// Fingerprint identifies the content of a request. The retry of a caller has the same fingerprint.
 type Fingerprint uint64
 
-// RejectedCaller is a caller who got no answer and may come back.
+// RejectedCaller is a caller that received no response and may retry.
 type RejectedCaller struct {
 	Fingerprint Fingerprint
-	// FirstRequestAt is when the caller first asked, Ends until when it waits.
+	// FirstRequestAt is when the caller sent its first request, and TimeoutAt when it stops waiting for a response.
 	FirstRequestAt, TimeoutAt time.Time
 }
 
 const (
-	// timeoutTolerance is by how much the moment until which a caller waits may seem to differ
-	// between two of its requests: what they take to arrive, and to be read by a box that is
-	// short of processor time. On calm machines it is 3 ms at most.
+	// timeoutTolerance is the maximum difference between the timeouts that boxes compute from two requests of one
+	// caller. The difference is due to the time that requests take to arrive and to be read by a box that is short of
+	// CPU time. It is at most 3 ms on machines that are not overloaded.
 	timeoutTolerance = 100 * time.Millisecond
-	// maxRejectedCallers bounds the callers that are remembered; beyond it, others count as new until
-	// some stop waiting. At 56 bytes each, without the map, it is half a megabyte.
+	// maxRejectedCallers is the maximum number of recorded callers. Beyond it, other callers count as new until some
+	// time out. At 56 bytes each, without the map, the callers take half a megabyte.
 	maxRejectedCallers = 8192
-	// maxReportedCallers is how many of the newest a box can still tell; a busy box tells one or two at a time.
+	// maxReportedCallers is the number of latest callers that a report can contain. A busy box reports one or two at a
+	// time.
 	maxReportedCallers = 256
-	// relaysPerSecond bounds what a box tells its cell of callers whom others have sent away: with 18 boxes in a cell each
-	// hears 13 KB of it a second at most. Beyond that, such callers count as new.
+	// relaysPerSecond is the maximum number of callers that a box relays from other cells. With 18 boxes in a cell,
+	// each box receives at most 13 KB of relayed callers per second. Callers beyond it count as new.
 	relaysPerSecond = 40
-	// maxCallersPerFingerprint bounds the callers that are remembered of those who ask for the very same.
+	// maxCallersPerFingerprint is the maximum number of recorded callers with the same fingerprint.
 	maxCallersPerFingerprint = 8
 )
 
-// RejectedCallers remembers callers who were sent away until they stop waiting. Its zero value
-// remembers nobody. It is safe for concurrent use.
+// RejectedCallers records rejected callers until they time out. Its zero value is empty and ready to use. It is safe
+// for concurrent use.
 //
-// It takes one caller for another only if both ask for the same, with the same key and body,
-// and stop waiting at the same moment, give or take timeoutTolerance.
+// It confuses two callers only if they send the same request with the same key and body, and their timeouts differ by
+// no more than timeoutTolerance.
 type RejectedCallers struct {
 	mu      sync.Mutex
 	callers map[Fingerprint][]RejectedCaller
-	// count is how many callers are remembered, swept when those who had stopped waiting were
-	// last forgotten.
+	// count is the number of recorded callers; lastSweep is when those that had timed out were last removed.
 	count     int
 	lastSweep time.Time
-	// reports are the newest that this box is to tell others, told counts all of them.
+	// reports are the latest callers to report to other boxes; reportCount is the number of all of them so far.
 	reports     []callerReport
 	reportCount uint64
-	// relayed is how many callers of other cells were to be told on since a moment.
+	// relayed is the number of callers of other cells that were received for relaying since relayedSince.
 	relayed      int
 	relayedSince time.Time
 }
 
-// RelayDimension is the way on which boxes of different cells tell each other. Cells are numbered, and a box tells those cells whose
-// number differs from its own in one bit; the relay is the place of the bit, counted from 1. What has come on one way goes on
-// by lower ones only, so that it comes to each cell once.
+// RelayDimension is a dimension in which boxes of different cells report to each other. Cells are numbered, and a box
+// reports to the cells whose number differs from its own in one bit. The dimension is the position of this bit, counted
+// from 1. A report received in one dimension is relayed only in lower ones, so that it reaches each cell once.
 type RelayDimension int
 
 const (
-	// RelayWithinCell is telling within the own cell, where everything is told.
+	// RelayWithinCell is the dimension of reports within the box's own cell, which contain the callers of all
+	// dimensions.
 	RelayWithinCell RelayDimension = 0
-	// relayOrigin stands for what no other box has told.
+	// relayOrigin is the dimension of callers that this box has rejected itself.
 	relayOrigin RelayDimension = math.MaxInt
 )
 
-// callerReport is a caller to be told of, and the way on which it was heard of.
+// callerReport is a caller to report, and the dimension in which it was received.
 type callerReport struct {
 	caller RejectedCaller
 	from   RelayDimension
 }
 
-// Record remembers a caller that this box sends away.
+// Record adds a caller that this box rejects.
 func (r *RejectedCallers) Record(caller RejectedCaller, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,7 +89,7 @@
 	r.queueReport(caller, relayOrigin)
 }
 
-// Merge remembers callers of whom another box tells on a way. Those of other cells are told on.
+// Merge adds callers that another box has reported in a dimension. New callers from other cells are relayed.
 func (r *RejectedCallers) Merge(callers []RejectedCaller, from RelayDimension, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// mayRelay reports whether one more caller may be told on.
+// mayRelay reports whether one more caller may be relayed.
 func (r *RejectedCallers) mayRelay(now time.Time) bool {
 	if now.Sub(r.relayedSince) >= time.Second {
 		r.relayed, r.relayedSince = 0, now
@@ -110,7 +110,7 @@
 	return r.relayed <= relaysPerSecond
 }
 
-// queueReport lets others be told of a caller.
+// queueReport adds a caller to the reports to other boxes.
 func (r *RejectedCallers) queueReport(caller RejectedCaller, from RelayDimension) {
 	r.reports = append(r.reports, callerReport{caller, from})
 	r.reportCount++
@@ -119,39 +119,39 @@
 	}
 }
 
-// FirstRequestAt returns when a caller first asked who asks now and waits until a moment; ok is false
-// if it was not sent away before, as far as is known.
-func (r *RejectedCallers) FirstRequestAt(fingerprint Fingerprint, ends, now time.Time) (first time.Time, ok bool) {
+// FirstRequestAt returns when the caller of a request sent its first request; ok is false if no rejected caller with
+// the same fingerprint and timeout is recorded. The request has arrived now, and its caller times out at timeoutAt.
+func (r *RejectedCallers) FirstRequestAt(fingerprint Fingerprint, timeoutAt, now time.Time) (first time.Time, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, caller := range r.callers[fingerprint] {
-		if caller.timesOutAt(ends) && caller.FirstRequestAt.Before(now) {
+		if caller.timesOutAt(timeoutAt) && caller.FirstRequestAt.Before(now) {
 			return caller.FirstRequestAt, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// Since returns the callers that are to be told on a way after a number of them, and the
-// number now. Those before the newest few are left out.
-func (r *RejectedCallers) Since(told uint64, to RelayDimension) (callers []RejectedCaller, now uint64) {
+// Since returns the callers to report in a dimension that were added after a cursor, and the new cursor. The first
+// cursor is 0. Callers before the latest maxReportedCallers are omitted.
+func (r *RejectedCallers) Since(cursor uint64, to RelayDimension) (callers []RejectedCaller, next uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	missing := min(r.reportCount-min(told, r.reportCount), uint64(min(len(r.reports), maxReportedCallers)))
-	for _, news := range r.reports[len(r.reports)-int(missing):] {
-		if news.from > to {
-			callers = append(callers, news.caller)
+	pending := min(r.reportCount-min(cursor, r.reportCount), uint64(min(len(r.reports), maxReportedCallers)))
+	for _, report := range r.reports[len(r.reports)-int(pending):] {
+		if report.from > to {
+			callers = append(callers, report.caller)
 		}
 	}
 	return callers, r.reportCount
 }
 
-// timesOutAt reports whether the caller waits until a moment.
-func (s *RejectedCaller) timesOutAt(ends time.Time) bool {
-	return s.TimeoutAt.Sub(ends).Abs() <= timeoutTolerance
+// timesOutAt reports whether the caller times out at a time, within timeoutTolerance.
+func (c *RejectedCaller) timesOutAt(at time.Time) bool {
+	return c.TimeoutAt.Sub(at).Abs() <= timeoutTolerance
 }
 
-// add remembers a caller; of one that is known already, its earliest request. It reports whether the caller was not known.
+// add adds a caller and reports whether it is new. For a recorded caller, it keeps the earliest first request.
 func (r *RejectedCallers) add(caller RejectedCaller, now time.Time) (isNew bool) {
 	if !caller.TimeoutAt.After(now) {
 		return false
@@ -159,36 +159,36 @@
 	if now.Sub(r.lastSweep) >= time.Second || r.count >= maxRejectedCallers {
 		r.sweep(now)
 	}
-	same := r.callers[caller.Fingerprint]
-	for i := range same {
-		if same[i].timesOutAt(caller.TimeoutAt) {
-			if caller.FirstRequestAt.Before(same[i].FirstRequestAt) {
-				same[i].FirstRequestAt = caller.FirstRequestAt
+	known := r.callers[caller.Fingerprint]
+	for i := range known {
+		if known[i].timesOutAt(caller.TimeoutAt) {
+			if caller.FirstRequestAt.Before(known[i].FirstRequestAt) {
+				known[i].FirstRequestAt = caller.FirstRequestAt
 			}
 			return false
 		}
 	}
-	if len(same) >= maxCallersPerFingerprint || r.count >= maxRejectedCallers {
+	if len(known) >= maxCallersPerFingerprint || r.count >= maxRejectedCallers {
 		return false
 	}
 	if r.callers == nil {
 		r.callers = make(map[Fingerprint][]RejectedCaller)
 	}
-	r.callers[caller.Fingerprint] = append(same, caller)
+	r.callers[caller.Fingerprint] = append(known, caller)
 	r.count++
 	return true
 }
 
-// sweep forgets the callers who have stopped waiting.
+// sweep removes the callers that have timed out.
 func (r *RejectedCallers) sweep(now time.Time) {
 	r.lastSweep, r.count = now, 0
-	for fingerprint, same := range r.callers {
-		same = slices.DeleteFunc(same, func(caller RejectedCaller) bool { return now.Sub(caller.TimeoutAt) > timeoutTolerance })
-		if len(same) == 0 {
+	for fingerprint, known := range r.callers {
+		known = slices.DeleteFunc(known, func(caller RejectedCaller) bool { return now.Sub(caller.TimeoutAt) > timeoutTolerance })
+		if len(known) == 0 {
 			delete(r.callers, fingerprint)
 			continue
 		}
-		r.callers[fingerprint] = same
-		r.count += len(same)
+		r.callers[fingerprint] = known
+		r.count += len(known)
 	}
 }
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -18,6 +18,7 @@
 
 var testTime = time.Unix(1_000_000, 0)
 
+// record returns the record of a box that has the given versions of the model "m" live.
 func record(box string, region member.Region, versions ...table.ModelVersion) member.Record {
 	r := member.Record{
 		Box: member.BoxID(box), Role: member.RoleAgent, Status: member.StatusUp, Region: region,
@@ -72,14 +73,14 @@
 		require.Equal(t, member.BoxID("b"), target.Box)
 	}
 	target, ok := r.Pick(testServiceVersion, []member.BoxID{"b"}, testTime)
-	require.True(t, ok, "an ejected box is better than a refusal")
+	require.True(t, ok, "an ejected box is used rather than rejecting the request")
 	require.Equal(t, member.BoxID("a"), target.Box)
-	seen := make(map[member.BoxID]bool)
+	picked := make(map[member.BoxID]bool)
 	for range 100 {
 		target, _ := r.Pick(testServiceVersion, nil, testTime.Add(time.Second))
-		seen[target.Box] = true
+		picked[target.Box] = true
 	}
-	require.True(t, seen["a"], "it comes back after its time")
+	require.True(t, picked["a"], "the box is used again after its ejection")
 }
 
 func TestInFlightCountSurvivesRecordUpdateButNotRestart(t *testing.T) {
@@ -107,13 +108,13 @@
 	select {
 	case <-target.Silenced():
 	default:
-		require.Fail(t, "not told")
+		require.Fail(t, "silenced channel is not closed")
 	}
 	r.Set(silent)
 }
 
-// Many entry boxes with the same stale load report do not all pick the box that
-// looked idle.
+// Guards against a thundering herd: many entry boxes with the same outdated load reports must not all pick the box that
+// is idle according to these reports.
 func TestStaleLoadReportsDoNotCauseThunderingHerd(t *testing.T) {
 	const entries, boxes = 50, 20
 	picked := make(map[member.BoxID]int)
@@ -133,12 +134,12 @@
 	}
 }
 
-// Whatever records come, a pick is a box that is up and has the version live by
-// the newest record, and one is found whenever there is one.
+// Checks for random sequences of records that Pick returns a box that is up and has the version live according to its
+// latest record, and that it finds one whenever there is one.
 func TestPickAgreesWithTheNewestRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRouter("kita")
-		held := make(map[member.BoxID]member.Record)
+		latest := make(map[member.BoxID]member.Record)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			box := fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "box"))
 			next := record(box, rapid.SampledFrom([]member.Region{"kita", "far"}).Draw(t, "region"),
@@ -146,17 +147,17 @@
 			next.Incarnation = member.Incarnation(rapid.IntRange(1, 2).Draw(t, "incarnation"))
 			next.Status = rapid.SampledFrom([]member.Status{member.StatusUp, member.StatusUp, member.StatusLeaving, member.StatusSilent}).Draw(t, "status")
 			r.Set(next)
-			held[next.Box] = next
-			place := ServiceVersion{Service: "m", Version: rapid.SampledFrom([]table.ModelVersion{"v1", "v2"}).Draw(t, "wanted")}
-			some := false
-			for _, record := range held {
-				some = some || record.IsLive("m", place.Version)
+			latest[next.Box] = next
+			requested := ServiceVersion{Service: "m", Version: rapid.SampledFrom([]table.ModelVersion{"v1", "v2"}).Draw(t, "requested")}
+			isLive := false
+			for _, record := range latest {
+				isLive = isLive || record.IsLive("m", requested.Version)
 			}
-			target, ok := r.Pick(place, nil, testTime)
-			require.Equal(t, some, ok)
+			target, ok := r.Pick(requested, nil, testTime)
+			require.Equal(t, isLive, ok)
 			if ok {
-				require.True(t, held[target.Box].IsLive("m", place.Version))
-				require.Equal(t, held[target.Box].Incarnation, target.Incarnation)
+				require.True(t, latest[target.Box].IsLive("m", requested.Version))
+				require.Equal(t, latest[target.Box].Incarnation, target.Incarnation)
 				if rapid.Bool().Draw(t, "fails") {
 					target.Failed(testTime)
 				}
@@ -165,41 +166,41 @@
 	})
 }
 
-// An agent's registry of ids: each that may not be repeated starts at most once,
-// and what was settled as not started never starts, in whatever order.
+// Checks for random sequences of calls that a request id that is not repeatable starts at most once, and that an
+// attempt that was settled as not started never starts.
 func TestIDRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := NewDedupRegistry(time.Minute)
+		registry := NewDedupRegistry(time.Minute)
 		ran := make(map[RequestID]int)
 		started := make(map[AttemptID]bool)
-		promised := make(map[AttemptID]bool)
+		settled := make(map[AttemptID]bool)
 		now := testTime
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "passes")) * time.Millisecond)
+			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "elapsed")) * time.Millisecond)
 			request := RequestID(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "request")))
 			attempt := AttemptID(fmt.Sprint(request, "/", rapid.IntRange(0, 2).Draw(t, "attempt")))
 			switch rapid.IntRange(0, 2).Draw(t, "action") {
 			case 0:
-				if o.Start(request, attempt, false, now) == StartAllowed {
+				if registry.Start(request, attempt, false, now) == StartAllowed {
 					ran[request]++
 					started[attempt] = true
-					if promised[attempt] {
-						t.Fatalf("%s started after it was promised not to", attempt)
+					if settled[attempt] {
+						t.Fatalf("%s started after it was settled as not started", attempt)
 					}
 				}
 			case 1:
-				if !o.Settle(attempt, now) {
-					promised[attempt] = true
+				if !registry.Settle(attempt, now) {
+					settled[attempt] = true
 					if started[attempt] {
-						t.Fatalf("%s ran and is said not to have", attempt)
+						t.Fatalf("%s started, but was settled as not started", attempt)
 					}
 				}
 			case 2:
 				if started[attempt] && ran[request] == 1 && rapid.Bool().Draw(t, "abandon") {
-					o.Abandon(request, attempt, now)
+					registry.Abandon(request, attempt, now)
 					ran[request]--
 					started[attempt] = false
-					promised[attempt] = true
+					settled[attempt] = true
 				}
 			}
 			if ran[request] > 1 {
@@ -209,8 +210,8 @@
 	})
 }
 
-// Whichever of a request's homes runs it and whichever witness hears of it, with
-// any one of the agents gone in between, the id runs at most once.
+// Checks that an id runs at most once, whichever of its owners runs it and whichever is the witness, if one of the
+// agents fails between the attempts.
 func TestWitnessPreventsSecondRunWhenOneAgentIsGone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const agents = 3
@@ -218,20 +219,20 @@
 		for i := range registries {
 			registries[i] = NewDedupRegistry(time.Hour)
 		}
-		gone := -1
+		failed := -1
 		runs := 0
 		for number := range rapid.IntRange(1, 8).Draw(t, "attempts") {
-			if gone < 0 && rapid.Bool().Draw(t, "one goes") {
-				gone = rapid.IntRange(0, agents-1).Draw(t, "gone")
+			if failed < 0 && rapid.Bool().Draw(t, "agent fails") {
+				failed = rapid.IntRange(0, agents-1).Draw(t, "failed")
 			}
-			order := rapid.Permutation([]int{0, 1, 2}).Draw(t, "homes")
+			order := rapid.Permutation([]int{0, 1, 2}).Draw(t, "owners")
 			attempt := AttemptID(fmt.Sprint("id/", number))
 			runner, claimed := order[0], false
-			if runner == gone || registries[runner].Start("id", attempt, false, testTime) != StartAllowed {
+			if runner == failed || registries[runner].Start("id", attempt, false, testTime) != StartAllowed {
 				continue
 			}
 			for _, witness := range order[1:] {
-				if witness != gone {
+				if witness != failed {
 					claimed = registries[witness].Claim("id", attempt, testTime)
 					break
 				}
@@ -239,10 +240,10 @@
 			switch {
 			case !claimed:
 				registries[runner].Abandon("id", attempt, testTime)
-			case rapid.Bool().Draw(t, "backend server takes no connection"):
+			case rapid.Bool().Draw(t, "backend server refuses the connection"):
 				registries[runner].Abandon("id", attempt, testTime)
 				for i, registry := range registries {
-					if i != gone {
+					if i != failed {
 						registry.Release("id", attempt)
 					}
 				}
@@ -265,7 +266,7 @@
 	}
 	for i := range 50 {
 		id := RequestID(fmt.Sprint(i))
-		homes := func(r *Router) map[member.Address]bool {
+		owners := func(r *Router) map[member.Address]bool {
 			target, witnesses, ok := r.PickOwner(testServiceVersion, id, nil, testTime)
 			require.True(t, ok)
 			require.Len(t, witnesses, ownersPerID-1)
@@ -275,23 +276,23 @@
 			}
 			return all
 		}
-		require.Equal(t, homes(one), homes(two))
+		require.Equal(t, owners(one), owners(two))
 	}
 	target, witnesses, ok := one.PickOwner(testServiceVersion, "x", nil, testTime)
 	require.True(t, ok)
 	target.Failed(testTime)
 	other, _, _ := one.PickOwner(testServiceVersion, "x", nil, testTime)
-	require.Contains(t, witnesses, other.Address, "an ejected home does not run it; another home does")
+	require.Contains(t, witnesses, other.Address, "another owner runs the request if the first one is ejected")
 }
 
 func TestDedupRegistryForgetsAfterWindow(t *testing.T) {
-	o := NewDedupRegistry(time.Minute)
+	registry := NewDedupRegistry(time.Minute)
 	for i := range 1000 {
-		o.Start(RequestID(fmt.Sprint(i)), AttemptID(fmt.Sprint(i)), false, testTime)
+		registry.Start(RequestID(fmt.Sprint(i)), AttemptID(fmt.Sprint(i)), false, testTime)
 	}
-	require.Equal(t, 2000, o.Len())
-	o.Start("last", "last", false, testTime.Add(3*time.Minute))
-	require.Equal(t, 2, o.Len())
+	require.Equal(t, 2000, registry.Len())
+	registry.Start("last", "last", false, testTime.Add(3*time.Minute))
+	require.Equal(t, 2, registry.Len())
 }
 
 func TestRetryBudgetLimitsRatioOfRetries(t *testing.T) {
@@ -370,7 +371,7 @@
 	})
 }
 
-// Under saturation the places follow the weights, whatever one group floods.
+// Checks that saturated slots are shared by weight even if one group submits far more requests than the others.
 func TestSaturatedSlotsAreSharedByWeight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := NewAdmission(4, 1000)
@@ -446,7 +447,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, ok := r.Pick(testServiceVersion, nil, testTime); !ok {
-					b.Fatal("no box")
+					b.Fatal("no box found")
 				}
 			}
 		})
@@ -463,7 +464,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if _, _, ok := r.PickOwner(testServiceVersion, RequestID(fmt.Sprint(i)), nil, testTime); !ok {
-					b.Fatal("no box")
+					b.Fatal("no box found")
 				}
 			}
 		})
@@ -500,12 +501,12 @@
 }
 
 func BenchmarkDedupRegistry(b *testing.B) {
-	o := NewDedupRegistry(time.Minute)
+	registry := NewDedupRegistry(time.Minute)
 	now := testTime
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
 		id := fmt.Sprint(i)
-		o.Start(RequestID(id), AttemptID(id), false, now)
+		registry.Start(RequestID(id), AttemptID(id), false, now)
 	}
 }
--- a/pkg/route/router.go
+++ b/pkg/route/router.go
@@ -1,17 +1,17 @@
-// Package route takes a request from its arrival to its outcome: which box gets
-// it, when it is admitted, whether it may be tried again, and what may truthfully
-// be said of it afterwards.
+// Package route decides where and when a request runs, from its arrival to its outcome: which box or backend server it
+// is sent to, when it is admitted, whether it may be retried, and whether it is known to have run.
 //
-// Router chooses among the boxes that have the right version live, by the better
-// of two drawn at random. Admission queues per group in order of work served
-// over weight. Once is the agent's last gate: a request id runs at most once, and
-// one that was settled before it started never starts. Budget limits retries.
+// Router picks a box among those that have the requested version live, the better of two random ones. Admission queues
+// the requests of each group and shares the slots by weight. DedupRegistry is the last check on an agent: a request id
+// runs at most once, and an attempt that was settled before it started never starts. RetryBudget limits the retries.
+// Dispatcher shares the slots of a service's backend servers among several entry boxes. Quarantine blocks requests
+// under which backend servers have exited.
 //
 // # Usage
 //
 //	router := route.NewRouter("kita")
 //	router.Set(record) // each member.Record as it changes
-//	target, ok := router.Pick(route.Place{Service: "kakiwake", Version: "v1"}, nil, now)
+//	target, ok := router.Pick(route.ServiceVersion{Service: "kakiwake", Version: "v1"}, nil, now)
 //	target.Start()
 //	defer target.Release()
 package route
@@ -27,69 +27,71 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// ServiceVersion is what a request asks for. Version is empty for a plain service.
+// ServiceVersion is the service and the version that a request is for. Version is empty for a plain service.
 type ServiceVersion struct {
 	Service member.Service
 	Version table.ModelVersion
 }
 
-// Target is a box that may get requests.
+// Target is a box to which requests can be sent. It is safe for concurrent use.
 type Target struct {
 	Box         member.BoxID
 	Address     member.Address
 	Incarnation member.Incarnation
-	// Remote is set for boxes of another region; they are used only when no
-	// near one is left.
+	// Remote is set for boxes of another region. Their cost is higher by remoteCost.
 	Remote bool
 
 	inFlight atomic.Int64
-	// reportedLoad is the box's own count of work, told with its answers.
+	// reportedLoad is the load that the box reported with its latest response; reportedAt is the Unix time in
+	// nanoseconds at which it did.
 	reportedLoad atomic.Int64
 	reportedAt   atomic.Int64
+	// ejectedUntil is the end of the ejection as a Unix time in nanoseconds; 0 if the box is not ejected.
 	ejectedUntil atomic.Int64
-	failures     atomic.Int32
-	silenced     chan struct{}
+	// failures is the number of consecutive failures.
+	failures atomic.Int32
+	// silenced is closed when the box is marked silent.
+	silenced chan struct{}
 }
 
-// The bounds of ejection.
 const (
+	// boxEjectInitial is the ejection time after the first failure; it doubles up to boxEjectMax.
 	boxEjectInitial = 500 * time.Millisecond
 	boxEjectMax     = 10 * time.Second
-	// loadHalfLife is how fast a reported load loses its say.
+	// loadHalfLife is the age at which a reported load has half of its initial weight.
 	loadHalfLife = time.Second
-	// remoteCost makes a near box with some work better than an idle far one.
+	// remoteCost, in requests, makes a local box with a few requests cheaper than an idle remote one.
 	remoteCost = 4
-	// maxDraws bounds how often a second candidate is drawn to replace one that
-	// may not be used.
+	// maxDraws is the number of random draws before all targets are scanned for a usable one.
 	maxDraws = 8
 )
 
-// Start counts a request; Release ends it.
+// Start counts a request in flight. Release must be called when it ends.
 func (t *Target) Start() { t.inFlight.Add(1) }
 
-// Release ends a request counted by Start.
+// Release removes a request that was counted by Start.
 func (t *Target) Release() { t.inFlight.Add(-1) }
 
-// InFlight returns the requests that this process has on the box.
+// InFlight returns the number of requests that this process has in flight on the box.
 func (t *Target) InFlight() int64 { return t.inFlight.Load() }
 
 // Silenced returns a channel that is closed when the box is marked silent.
 func (t *Target) Silenced() <-chan struct{} { return t.silenced }
 
-// ReportLoad notes the load that the box told.
+// ReportLoad records the load that the box has reported, in requests.
 func (t *Target) ReportLoad(load int, now time.Time) {
 	t.reportedLoad.Store(int64(load))
 	t.reportedAt.Store(now.UnixNano())
 }
 
-// Failed ejects the box for a time that doubles with each failure in a row.
+// Failed ejects the box for a time that doubles with each consecutive failure.
 func (t *Target) Failed(now time.Time) {
 	count := min(t.failures.Add(1), 16)
 	wait := min(boxEjectInitial<<(count-1), boxEjectMax)
 	t.ejectedUntil.Store(now.Add(wait).UnixNano())
 }
 
-// Succeeded ends the row of failures.
+// Succeeded resets the consecutive failures and ends the ejection.
 func (t *Target) Succeeded() {
 	if t.failures.Load() != 0 {
 		t.failures.Store(0)
@@ -99,8 +101,8 @@
 
 func (t *Target) isEjected(now int64) bool { return t.ejectedUntil.Load() > now }
 
-// cost is the work expected before a new request: one's own in full, and of what
-// the box reported the part above it, halved for each half-life of its age.
+// cost returns the load of the box as seen by a new request, in requests: those of this process, plus the excess of the
+// reported load over them divided by 1 + age/loadHalfLife, plus remoteCost for a remote box.
 func (t *Target) cost(now int64) float64 {
 	own := float64(t.inFlight.Load())
 	cost := own
@@ -114,7 +116,7 @@
 	return cost
 }
 
-// Router holds the boxes by what they answer. It is safe for concurrent use.
+// Router picks boxes by the service and version that they serve. It is safe for concurrent use.
 type Router struct {
 	region member.Region
 
@@ -123,13 +125,13 @@
 	boxes   map[member.BoxID]*routedBox
 }
 
-// routedBox is a box with the places it stands in.
+// routedBox is a box with the versions that it serves.
 type routedBox struct {
 	target *Target
 	serves []ServiceVersion
 }
 
-// NewRouter returns a router without boxes for callers in a region.
+// NewRouter returns a Router without boxes, for requests from a region.
 func NewRouter(region member.Region) *Router {
 	return &Router{
 		region:  region,
@@ -138,9 +140,8 @@
 	}
 }
 
-// Set brings the router in line with a box's newest record. Only the places of
-// that box are touched. Requests in flight keep their targets, and the counts of
-// a box survive until its next incarnation.
+// Set updates the router with the latest record of a box. It changes only the entries of that box. Requests in flight
+// keep their target, and the counts of a box are kept until its incarnation or its address changes.
 func (r *Router) Set(record member.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,32 +158,33 @@
 		return
 	}
 	r.remove(record.Box, before)
-	for _, place := range after.serves {
-		r.targets[place] = append(r.targets[place], after.target)
+	for _, version := range after.serves {
+		r.targets[version] = append(r.targets[version], after.target)
 	}
 	r.boxes[record.Box] = after
 }
 
-// Remove takes a box out.
+// Remove removes a box.
 func (r *Router) Remove(box member.BoxID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.remove(box, r.boxes[box])
 }
 
-func (r *Router) remove(box member.BoxID, held *routedBox) {
-	if held == nil {
+func (r *Router) remove(box member.BoxID, routed *routedBox) {
+	if routed == nil {
 		return
 	}
-	for _, place := range held.serves {
-		r.targets[place] = slices.DeleteFunc(r.targets[place], func(t *Target) bool { return t == held.target })
-		if len(r.targets[place]) == 0 {
-			delete(r.targets, place)
+	for _, version := range routed.serves {
+		r.targets[version] = slices.DeleteFunc(r.targets[version], func(t *Target) bool { return t == routed.target })
+		if len(r.targets[version]) == 0 {
+			delete(r.targets, version)
 		}
 	}
 	delete(r.boxes, box)
 }
 
+// target returns the existing target of a box if it is still the same process, and a new one otherwise.
 func (r *Router) target(record member.Record, before *routedBox) *Target {
 	if before != nil && before.target.Incarnation == record.Incarnation && before.target.Address == record.Peers {
 		return before.target
@@ -194,32 +196,33 @@
 	}
 }
 
+// servedBy returns the live versions and the plain services of a box.
 func servedBy(record member.Record) []ServiceVersion {
-	var places []ServiceVersion
-	for _, held := range record.Copies {
-		if held.Phase == member.PhaseLive {
-			places = append(places, ServiceVersion{Service: member.Service(held.Model), Version: held.Version})
+	var versions []ServiceVersion
+	for _, replica := range record.Copies {
+		if replica.Phase == member.PhaseLive {
+			versions = append(versions, ServiceVersion{Service: member.Service(replica.Model), Version: replica.Version})
 		}
 	}
 	for _, service := range record.Services {
-		places = append(places, ServiceVersion{Service: service})
+		versions = append(versions, ServiceVersion{Service: service})
 	}
-	return places
+	return versions
 }
 
-// Count returns how many boxes answer a place.
-func (r *Router) Count(place ServiceVersion) int {
+// Count returns the number of boxes that serve a version.
+func (r *Router) Count(version ServiceVersion) int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return len(r.targets[place])
+	return len(r.targets[version])
 }
 
-// Pick chooses a box, leaving out those already tried. Ejected boxes are used
-// only when no other is left, so that ejection alone never refuses a request.
-func (r *Router) Pick(place ServiceVersion, tried []member.BoxID, now time.Time) (*Target, bool) {
+// Pick picks a box that has not been tried. Ejected boxes are used only if there is no other, so that a request is
+// never rejected because of ejections alone. The result is false if no box is left.
+func (r *Router) Pick(version ServiceVersion, tried []member.BoxID, now time.Time) (*Target, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	targets := r.targets[place]
+	targets := r.targets[version]
 	nanos := now.UnixNano()
 	first := drawUsable(targets, tried, nil, nanos)
 	if first == nil {
@@ -232,14 +235,14 @@
 	return first, true
 }
 
-// drawUsable takes a random usable target. After a few misses it scans from a random
-// place, so that a single usable one is always found.
-func drawUsable(targets []*Target, tried []member.BoxID, not *Target, now int64) *Target {
+// drawUsable returns a random target that is neither ejected, tried nor excluded; nil if there is none. After maxDraws
+// unusable ones, it scans all targets from a random offset, so that it finds a usable one if there is any.
+func drawUsable(targets []*Target, tried []member.BoxID, excluded *Target, now int64) *Target {
 	if len(targets) == 0 {
 		return nil
 	}
 	usable := func(t *Target) bool {
-		return t != not && !t.isEjected(now) && !slices.Contains(tried, t.Box)
+		return t != excluded && !t.isEjected(now) && !slices.Contains(tried, t.Box)
 	}
 	for range maxDraws {
 		if t := targets[rand.IntN(len(targets))]; usable(t) {
@@ -255,6 +258,7 @@
 	return nil
 }
 
+// firstToReturn returns the untried target whose ejection ends first.
 func firstToReturn(targets []*Target, tried []member.BoxID) (*Target, bool) {
 	var best *Target
 	for _, t := range targets {
--- a/pkg/route/windowretrybudget.go
+++ b/pkg/route/windowretrybudget.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// windowBuckets is in how many parts a window's counts are kept.
+// windowBuckets is the number of intervals into which a window is divided.
 const windowBuckets = 10
 
-// WindowRetryBudget bounds the retries within a sliding window: to a ratio of the
-// requests in it, and an extra that does not depend on them. It is safe for
-// concurrent use.
+// WindowRetryBudget limits the retries in a sliding window to a ratio of the requests in it, plus an extra number that
+// does not depend on the requests. It is safe for concurrent use.
 type WindowRetryBudget struct {
 	ratio      float64
 	bucketTime time.Duration
@@ -18,18 +17,18 @@
 	mu       sync.Mutex
 	requests [windowBuckets]int
 	retries  [windowBuckets]int
-	// started is the time of the first call, from which parts are counted; at is
-	// the number of the newest part.
+	// started is the time of the first call. The buckets are numbered from it, and at is the number of the latest
+	// bucket.
 	started time.Time
 	at      int64
 }
 
-// NewWindowRetryBudget returns a budget of ratio retries per request in a window.
+// NewWindowRetryBudget returns a budget of ratio retries per request in each window.
 func NewWindowRetryBudget(ratio float64, window time.Duration) *WindowRetryBudget {
 	return &WindowRetryBudget{ratio: ratio, bucketTime: window / windowBuckets}
 }
 
-// advance empties the parts that have passed. The lock must be held.
+// advance clears the buckets that have left the window and returns the index of the current one. The lock must be held.
 func (b *WindowRetryBudget) advance(now time.Time) int {
 	if b.started.IsZero() {
 		b.started = now
@@ -43,15 +42,15 @@
 	return int(b.at % windowBuckets)
 }
 
-// RecordRequest notes a request.
+// RecordRequest counts a request.
 func (b *WindowRetryBudget) RecordRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.requests[b.advance(now)]++
 }
 
-// AllowRetry takes one retry; false means that the budget, with the extra that is
-// given, is spent.
+// AllowRetry counts one retry. It returns false, without counting it, if the window has no retry left: the budget is
+// ratio retries per request in the window plus extra.
 func (b *WindowRetryBudget) AllowRetry(extra float64, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
