--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -14,7 +14,7 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// followView follows the view with the number of places and the weights of groups.
+// followView updates the slots and group weights of all admissions whenever the view changes.
 func (c *CallerServer) followView(ctx context.Context) {
 	generation := uint64(math.MaxUint64)
 	for {
@@ -36,7 +36,7 @@
 	}
 }
 
-// admissionUpdateDelay gathers changes that come close together.
+// admissionUpdateDelay combines view changes in quick succession into one update.
 const admissionUpdateDelay = 100 * time.Millisecond
 
 func (c *CallerServer) updateAdmissions() {
@@ -47,7 +47,7 @@
 	}
 }
 
-// updateAdmission gives an admission its places and the weights of its groups.
+// updateAdmission sets the number of slots and the group weights of a service's admission.
 func (c *CallerServer) updateAdmission(service member.Service, admission *route.Admission) {
 	versions := make(map[table.ModelVersion]bool)
 	for key, row := range c.view.RowPlans() {
@@ -59,10 +59,11 @@
 	admission.SetSlots(c.slots(service, versions))
 }
 
-// minimumWeight keeps a group with a share of 0 from dividing by 0.
+// minimumWeight is the weight of a group whose share is 0. It avoids a division by zero.
 const minimumWeight = 1e-3
 
-// slots divides the replicas' places among the entry boxes of the region.
+// slots returns the number of slots of this entry box: its part of the slots of all replicas,
+// divided evenly among the entry boxes of the region and rounded up.
 func (c *CallerServer) slots(service member.Service, versions map[table.ModelVersion]bool) int {
 	replicas := c.view.Router().Count(route.ServiceVersion{Service: service})
 	for version := range versions {
@@ -72,28 +73,28 @@
 	return (replicas*c.options.SlotsPerReplica + entries - 1) / entries
 }
 
-// admission returns the queue of a service. One that is asked for the first time
-// gets its places at once: nothing may change in the view for a long time.
+// admission returns the admission queue of a service and creates it on first use. A new queue
+// gets its slots immediately, because the view may not change for a long time.
 func (c *CallerServer) admission(service member.Service) *route.Admission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held, ok := c.admissions[service]
+	queue, ok := c.admissions[service]
 	if !ok {
-		held = route.NewAdmission(0, c.options.QueuePerGroup)
-		c.updateAdmission(service, held)
-		c.admissions[service] = held
+		queue = route.NewAdmission(0, c.options.QueuePerGroup)
+		c.updateAdmission(service, queue)
+		c.admissions[service] = queue
 	}
-	return held
+	return queue
 }
 
-// framesPerRequest is how many frames of answer count as one request's work.
+// framesPerRequest is the number of response frames that count as the work of one request.
 const framesPerRequest = 100
 
-// admit waits for a place and runs the request in it.
-func (c *CallerServer) admit(ctx context.Context, x *exchange, place route.ServiceVersion) {
+// admit waits for a slot, runs the request and releases the slot.
+func (c *CallerServer) admit(ctx context.Context, x *exchange, version route.ServiceVersion) {
 	admission, group := c.admission(x.service), c.queueGroup(x)
-	if c.view.Router().Count(place) == 0 {
-		c.refuse(x, refusal{reasonNoBox, fmt.Sprintf("no box has %s %s live", x.service, place.Version), time.Second})
+	if c.view.Router().Count(version) == 0 {
+		c.refuse(x, refusal{reasonNoBox, fmt.Sprintf("no box has %s %s live", x.service, version.Version), time.Second})
 		return
 	}
 	waitCtx, cancel := clockwork.WithDeadline(ctx, c.clock, x.deadline)
@@ -114,13 +115,13 @@
 		return
 	}
 	defer func() { slot.Release(float64(x.frames.Load())/framesPerRequest, c.clock.Now()) }()
-	// The version is pinned only now: while the request waited, another one may
-	// have come into force.
-	place, why := c.resolveVersion(x)
-	if why != nil {
-		c.refuse(x, *why)
+	// Resolve the version again: the table may have changed while the request
+	// waited. From here on it is fixed.
+	version, refused := c.resolveVersion(x)
+	if refused != nil {
+		c.refuse(x, *refused)
 		return
 	}
-	x.version = place.Version
-	c.runAttempts(ctx, x, place)
+	x.version = version.Version
+	c.runAttempts(ctx, x, version)
 }
--- a/internal/daemon/attempts.go
+++ b/internal/daemon/attempts.go
@@ -14,24 +14,25 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// refusal is why a request was not run.
+// refusal is the reason why a request was not run.
 type refusal struct {
 	reason string
 	detail string
-	// retryAfter is when another try may do better; 0 means that none will.
+	// retryAfter is the delay after which the caller may retry. The response states it in
+	// whole seconds, at least 1.
 	retryAfter time.Duration
 }
 
-// refuse answers that the request was not run.
-func (c *CallerServer) refuse(x *exchange, why refusal) {
-	c.metrics.refusals.WithLabelValues(why.reason).Inc()
+// refuse responds that the request was not run.
+func (c *CallerServer) refuse(x *exchange, r refusal) {
+	c.metrics.refusals.WithLabelValues(r.reason).Inc()
 	c.recordOutcome(x, outcomeNotExecuted)
 	x.writer.Header().Set(headerOutcome, outcomeNotExecuted.String())
-	setRetryAfter(x.writer, why.retryAfter)
-	writeProblem(x.writer, Problem{Status: http.StatusServiceUnavailable, Title: "Not run", Detail: why.detail, Reason: why.reason})
+	setRetryAfter(x.writer, r.retryAfter)
+	writeProblem(x.writer, Problem{Status: http.StatusServiceUnavailable, Title: "Not run", Detail: r.detail, Reason: r.reason})
 }
 
-// respondUnknown answers that the request may have run.
+// respondUnknown responds that the request may have run.
 func (c *CallerServer) respondUnknown(x *exchange, cause error) {
 	status := http.StatusBadGateway
 	if errors.Is(cause, context.DeadlineExceeded) {
@@ -51,11 +52,11 @@
 	c.metrics.requestSeconds.WithLabelValues(service).Observe(c.clock.Since(x.arrived).Seconds())
 }
 
-// otherLabel stands for every service and group that the table and the boxes do
-// not name, so that callers cannot make up new ones without end.
+// otherLabel replaces every service and group that neither the table nor a box knows.
+// It bounds the metric labels and queues, because callers choose these names freely.
 const otherLabel = "other"
 
-// metricLabels are the service and group under which a request is counted.
+// metricLabels returns the service and group labels for a request's metrics.
 func (c *CallerServer) metricLabels(x *exchange) (service, group string) {
 	service, group = otherLabel, string(c.queueGroup(x))
 	if c.view.HasModel(table.Model(x.service)) || c.view.Router().Count(route.ServiceVersion{Service: x.service}) > 0 {
@@ -64,7 +65,7 @@
 	return service, group
 }
 
-// queueGroup is the group in whose queue a request waits.
+// queueGroup returns the group whose queue a request waits in.
 func (c *CallerServer) queueGroup(x *exchange) table.Group {
 	if c.view.HasGroup(x.group) {
 		return x.group
@@ -72,16 +73,17 @@
 	return otherLabel
 }
 
-// runAttempts tries boxes until the request has an outcome.
-func (c *CallerServer) runAttempts(ctx context.Context, x *exchange, place route.ServiceVersion) {
+// runAttempts sends the request to one box after another until it has an outcome, and
+// responds to the caller. It makes at most maxAttempts attempts.
+func (c *CallerServer) runAttempts(ctx context.Context, x *exchange, version route.ServiceVersion) {
 	c.budget.RecordRequest()
 	var tried []member.BoxID
-	// mayHaveRun stays set once any attempt may have started: no later refusal
-	// can make "not run" true again.
+	// mayHaveRun is the error of the last attempt that may have started. Once it is set, a
+	// refusal of a later attempt no longer proves that the request was not run.
 	var mayHaveRun error
-	last := refusal{reasonNoBox, fmt.Sprintf("no box has %s %s live", x.service, place.Version), time.Second}
+	lastRefusal := refusal{reasonNoBox, fmt.Sprintf("no box has %s %s live", x.service, version.Version), time.Second}
 	for number := range maxAttempts {
-		target, witnesses, ok := c.pick(x, place, tried)
+		target, witnesses, ok := c.pick(x, version, tried)
 		if !ok {
 			break
 		}
@@ -98,12 +100,12 @@
 			return
 		case outcomeTruncated:
 			c.recordOutcome(x, result)
-			// The caller must see that the answer is not whole.
+			// Abort the connection so that the caller sees a truncated response.
 			panic(http.ErrAbortHandler)
 		case outcomeUnknown:
 			mayHaveRun = err
 		case outcomeNotExecuted:
-			last = refusal{reasonBoxesFailed, err.Error(), time.Second}
+			lastRefusal = refusal{reasonBoxesFailed, err.Error(), time.Second}
 		}
 		if !c.canRetry(x, result, err) {
 			break
@@ -115,24 +117,25 @@
 		return
 	}
 	if x.isExpired(c.clock.Now()) {
-		last = refusal{reasonDeadline, "the deadline passed before the request started", time.Second}
+		lastRefusal = refusal{reasonDeadline, "the deadline passed before the request started", time.Second}
 	}
-	c.refuse(x, last)
+	c.refuse(x, lastRefusal)
 }
 
-// pick chooses a box. One that may not run twice goes to the homes of its id.
-func (c *CallerServer) pick(x *exchange, place route.ServiceVersion, tried []member.BoxID) (*route.Target, []member.Address, bool) {
+// pick chooses a box and, for a request that must not run twice, its witnesses. Such a request
+// goes to an owner of its id, so that its retries reach the same boxes.
+func (c *CallerServer) pick(x *exchange, version route.ServiceVersion, tried []member.BoxID) (*route.Target, []member.Address, bool) {
 	router, now := c.view.Router(), c.clock.Now()
 	if x.hasCallerID && !x.repeatable {
-		return router.PickOwner(place, x.id, tried, now)
+		return router.PickOwner(version, x.id, tried, now)
 	}
-	target, ok := router.Pick(place, tried, now)
+	target, ok := router.Pick(version, tried, now)
 	return target, nil, ok
 }
 
-// canRetry reports whether the request may be sent to another box. One that
-// surely did not run may always be, one that may have run only if it can be
-// repeated and the budget allows it.
+// canRetry reports whether the request may be sent to another box. Its deadline must not have
+// passed and its body must still be replayable. A request that may have run must also be
+// repeatable, must not have been refused by an agent, and the retry budget must allow it.
 func (c *CallerServer) canRetry(x *exchange, result outcome, cause error) bool {
 	if x.isExpired(c.clock.Now()) || !x.body.replayable() {
 		return false
--- a/internal/daemon/backendproxy.go
+++ b/internal/daemon/backendproxy.go
@@ -22,22 +22,24 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// defaultDrainDelay is within what time a box that is leaving gets nothing new.
+// defaultDrainDelay is how long a leaving box refuses requests before it waits for those in
+// progress. By then all entry boxes have received its announcement and send no new requests.
 const defaultDrainDelay = 2 * time.Second
 
-// dedupWindow is how long an agent remembers the ids of requests.
+// dedupWindow is how long an agent remembers request ids to detect duplicates.
 const dedupWindow = 10 * time.Minute
 
-// BackendProxy is the last check before a backend server: right incarnation, version
-// live, box not leaving, and not run before. It then passes the request on.
+// BackendProxy checks requests from entry boxes and forwards them to the backend server of its
+// box. It refuses a request that is meant for another incarnation of the agent, whose version
+// is not live or that ran before, and every request while the box is leaving.
 type BackendProxy struct {
 	clock   clockwork.Clock
 	log     zerolog.Logger
 	metrics *Metrics
 	client  *http.Client
-	// noReuseClient opens a connection for each request. The common client may send a
-	// request without a body again by itself when a kept connection turns out
-	// to be closed; a request that may not be repeated must not go that way.
+	// noReuseClient opens a new connection for each request. The other client may resend a
+	// request without a body when an idle connection turns out to be closed, which must not
+	// happen to a request that is not repeatable.
 	noReuseClient *http.Client
 	engineURL     string
 	serviceURLs   map[member.Service]string
@@ -46,28 +48,29 @@
 	dedup         *route.DedupRegistry
 
 	mu sync.Mutex
-	// drainDelay is how long a box that is leaving goes on refusing.
+	// drainDelay is how long Stop refuses new requests before it waits for those in progress.
 	drainDelay time.Duration
 	leaving    bool
 	versions   map[route.ServiceVersion]*versionState
 	running    int
-	// idle is closed when a Stop that waits sees the last request end.
+	// idle is set while Stop waits, and closed when the last request has ended.
 	idle chan struct{}
 }
 
-// versionState is a version that may be asked for, with its requests in progress.
+// versionState is a version of a service, with the number of its requests in progress.
 type versionState struct {
 	accepting bool
 	running   int
-	// drained is closed when a Close that waits sees the last request end.
+	// drained is set while Drain waits, and closed when the last request has ended.
 	drained chan struct{}
 }
 
-// NewBackendProxy returns a gate that refuses everything until Open.
+// NewBackendProxy returns a proxy to the engine and to the given services, by their base URLs. It
+// accepts requests for the services at once, and for a version of a model after Enable.
 func NewBackendProxy(engine string, services map[member.Service]string, peers *PeerPool, record func() member.Record,
 	clock clockwork.Clock, log zerolog.Logger, metrics *Metrics,
 ) *BackendProxy {
-	g := &BackendProxy{
+	p := &BackendProxy{
 		clock: clock, log: log, metrics: metrics,
 		client: newBackendClient(false), noReuseClient: newBackendClient(true),
 		engineURL: engine, serviceURLs: services, peers: peers, record: record,
@@ -76,18 +79,18 @@
 		drainDelay: defaultDrainDelay,
 	}
 	for service := range services {
-		g.Enable(route.ServiceVersion{Service: service})
+		p.Enable(route.ServiceVersion{Service: service})
 	}
-	return g
+	return p
 }
 
-// backendIdleConns bounds the unused connections kept to one backend server.
+// backendIdleConns is the maximum number of idle connections to one backend server.
 const backendIdleConns = 64
 
-func newBackendClient(fresh bool) *http.Client {
+func newBackendClient(disableKeepAlives bool) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
-			DisableCompression: true, DisableKeepAlives: fresh,
+			DisableCompression: true, DisableKeepAlives: disableKeepAlives,
 			MaxIdleConnsPerHost: backendIdleConns, IdleConnTimeout: idleConnTimeout,
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		},
@@ -95,144 +98,145 @@
 	}
 }
 
-// String returns the service's name.
-func (g *BackendProxy) String() string { return "gate" }
+// String returns the name of the service for logs.
+func (p *BackendProxy) String() string { return "gate" }
 
-// Stop refuses new requests, long enough for every entry box to hear that the
-// box is leaving, and waits for those in progress.
-func (g *BackendProxy) Stop(ctx context.Context) error {
-	g.mu.Lock()
-	g.leaving = true
-	g.mu.Unlock()
+// Stop refuses new requests from now on. It waits for drainDelay, so that every entry box
+// receives the announcement that the box is leaving, and then for the requests in progress.
+func (p *BackendProxy) Stop(ctx context.Context) error {
+	p.mu.Lock()
+	p.leaving = true
+	p.mu.Unlock()
 	select {
-	case <-g.clock.After(g.drainDelay):
+	case <-p.clock.After(p.drainDelay):
 	case <-ctx.Done():
 	}
-	g.mu.Lock()
-	running := g.running
+	p.mu.Lock()
+	running := p.running
 	if running > 0 {
-		g.idle = make(chan struct{})
+		p.idle = make(chan struct{})
 	}
-	idle := g.idle
-	g.mu.Unlock()
+	idle := p.idle
+	p.mu.Unlock()
 	if running == 0 {
 		return nil
 	}
-	g.log.Info().Int("running", running).Msg("waiting for requests in progress")
+	p.log.Info().Int("running", running).Msg("backend proxy is stopping; waiting for requests in progress")
 	select {
 	case <-idle:
-		g.client.CloseIdleConnections()
+		p.client.CloseIdleConnections()
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Enable lets requests for a place through.
-func (g *BackendProxy) Enable(place route.ServiceVersion) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.versions[place] = &versionState{accepting: true}
+// Enable accepts requests for a version of a service.
+func (p *BackendProxy) Enable(version route.ServiceVersion) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.versions[version] = &versionState{accepting: true}
 }
 
-// Disable refuses new requests for a place; those in progress go on.
-func (g *BackendProxy) Disable(place route.ServiceVersion) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if held, ok := g.versions[place]; ok {
-		held.accepting = false
+// Disable refuses new requests for a version of a service. Requests in progress continue.
+func (p *BackendProxy) Disable(version route.ServiceVersion) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if state, ok := p.versions[version]; ok {
+		state.accepting = false
 	}
 }
 
-// Drain refuses new requests for a place and waits until those in progress are
-// done. It reports whether they are.
-func (g *BackendProxy) Drain(ctx context.Context, place route.ServiceVersion) bool {
-	g.mu.Lock()
-	held, ok := g.versions[place]
+// Drain refuses new requests for a version of a service and waits for those in progress. It
+// reports false if the context ends first.
+func (p *BackendProxy) Drain(ctx context.Context, version route.ServiceVersion) bool {
+	p.mu.Lock()
+	state, ok := p.versions[version]
 	if !ok {
-		g.mu.Unlock()
+		p.mu.Unlock()
 		return true
 	}
-	held.accepting = false
-	if held.running == 0 {
-		delete(g.versions, place)
-		g.mu.Unlock()
+	state.accepting = false
+	if state.running == 0 {
+		delete(p.versions, version)
+		p.mu.Unlock()
 		return true
 	}
-	held.drained = make(chan struct{})
-	drained := held.drained
-	g.mu.Unlock()
+	state.drained = make(chan struct{})
+	drained := state.drained
+	p.mu.Unlock()
 	select {
 	case <-drained:
-		g.mu.Lock()
-		delete(g.versions, place)
-		g.mu.Unlock()
+		p.mu.Lock()
+		delete(p.versions, version)
+		p.mu.Unlock()
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// admit checks a request and counts it. The refusal is NONE if it may run; then
-// leave must be called once.
-func (g *BackendProxy) admit(head *wire.RequestHead) (leave func(), refusal wire.Refusal, detail string) {
-	record := g.record()
-	place := route.ServiceVersion{Service: member.Service(head.Service), Version: table.ModelVersion(head.Version)}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	held, ok := g.versions[place]
+// admit checks a request. If the request may run, admit counts it as running and returns
+// REFUSAL_NONE; the caller must then call release once.
+func (p *BackendProxy) admit(head *wire.RequestHead) (release func(), refusal wire.Refusal, detail string) {
+	record := p.record()
+	version := route.ServiceVersion{Service: member.Service(head.Service), Version: table.ModelVersion(head.Version)}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	state, ok := p.versions[version]
 	switch {
 	case head.Incarnation != uint64(record.Incarnation):
 		return nil, wire.Refusal_REFUSAL_INCARNATION, fmt.Sprintf("this is incarnation %d", record.Incarnation)
-	case g.leaving:
+	case p.leaving:
 		return nil, wire.Refusal_REFUSAL_LEAVING, "the box is leaving"
-	case !ok || !held.accepting:
+	case !ok || !state.accepting:
 		return nil, wire.Refusal_REFUSAL_VERSION, fmt.Sprintf("%s %s is not live here", head.Service, head.Version)
 	}
-	switch g.dedup.Start(route.RequestID(head.RequestId), route.AttemptID(head.Attempt), head.Repeatable, g.clock.Now()) {
+	switch p.dedup.Start(route.RequestID(head.RequestId), route.AttemptID(head.Attempt), head.Repeatable, p.clock.Now()) {
 	case route.StartDuplicate:
 		return nil, wire.Refusal_REFUSAL_DUPLICATE, "the request id ran before"
 	case route.StartSettled:
 		return nil, wire.Refusal_REFUSAL_SETTLED, "the attempt was settled as not started"
 	case route.StartAllowed:
 	}
-	held.running++
-	g.running++
-	return func() { g.done(held) }, wire.Refusal_REFUSAL_NONE, ""
+	state.running++
+	p.running++
+	return func() { p.done(state) }, wire.Refusal_REFUSAL_NONE, ""
 }
 
-func (g *BackendProxy) done(held *versionState) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	held.running--
-	g.running--
-	if !held.accepting && held.running == 0 && held.drained != nil {
-		close(held.drained)
-		held.drained = nil
+func (p *BackendProxy) done(state *versionState) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	state.running--
+	p.running--
+	if !state.accepting && state.running == 0 && state.drained != nil {
+		close(state.drained)
+		state.drained = nil
 	}
-	if g.idle != nil && g.running == 0 {
-		close(g.idle)
-		g.idle = nil
+	if p.idle != nil && p.running == 0 {
+		close(p.idle)
+		p.idle = nil
 	}
 }
 
-func (g *BackendProxy) load() *wire.Load {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return &wire.Load{Running: uint32(g.running)}
+func (p *BackendProxy) load() *wire.Load {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return &wire.Load{Running: uint32(p.running)}
 }
 
-// Settle tells whether an attempt was started; one that was not never will be.
-func (g *BackendProxy) Settle(_ context.Context, request *wire.SettleRequest) (*wire.SettleResponse, error) {
-	if request.Incarnation != uint64(g.record().Incarnation) {
+// Settle reports whether an attempt has started. If not, the proxy will never start it. Known is
+// false if the attempt was sent to another incarnation of the agent.
+func (p *BackendProxy) Settle(_ context.Context, request *wire.SettleRequest) (*wire.SettleResponse, error) {
+	if request.Incarnation != uint64(p.record().Incarnation) {
 		return &wire.SettleResponse{Known: false}, nil
 	}
-	started := g.dedup.Settle(route.AttemptID(request.Attempt), g.clock.Now())
+	started := p.dedup.Settle(route.AttemptID(request.Attempt), p.clock.Now())
 	return &wire.SettleResponse{Known: true, Started: started}, nil
 }
 
-// Serve takes one request from an entry box.
-func (g *BackendProxy) Serve(stream wire.DRPCBackend_ServeStream) error {
+// Serve handles a request from an entry box: it forwards the request or sends a refusal.
+func (p *BackendProxy) Serve(stream wire.DRPCBackend_ServeStream) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return err
@@ -240,77 +244,78 @@
 	if first.Head == nil {
 		return errors.New("first frame has no head")
 	}
-	leave, refusal, detail := g.admit(first.Head)
+	release, refusal, detail := p.admit(first.Head)
 	if refusal == wire.Refusal_REFUSAL_NONE {
-		if refusal, detail = g.claimAtWitness(stream.Context(), first.Head); refusal != wire.Refusal_REFUSAL_NONE {
-			leave()
+		if refusal, detail = p.claimAtWitness(stream.Context(), first.Head); refusal != wire.Refusal_REFUSAL_NONE {
+			release()
 		}
 	}
 	if refusal != wire.Refusal_REFUSAL_NONE {
-		g.metrics.gateRequests.WithLabelValues(refusalLabel(refusal)).Inc()
-		return g.sendRefusal(stream, first.Head, refusal, detail)
+		p.metrics.gateRequests.WithLabelValues(refusalLabel(refusal)).Inc()
+		return p.sendRefusal(stream, first.Head, refusal, detail)
 	}
-	defer leave()
-	return g.forward(stream, first)
+	defer release()
+	return p.forward(stream, first)
 }
 
 func refusalLabel(refusal wire.Refusal) string {
 	return strings.ToLower(strings.TrimPrefix(refusal.String(), "REFUSAL_"))
 }
 
-func (g *BackendProxy) sendRefusal(stream wire.DRPCBackend_ServeStream, head *wire.RequestHead, refusal wire.Refusal, detail string) error {
-	return stream.Send(&wire.ServeResponse{RequestId: head.RequestId, Refusal: refusal, Detail: detail, Load: g.load()})
+func (p *BackendProxy) sendRefusal(stream wire.DRPCBackend_ServeStream, head *wire.RequestHead, refusal wire.Refusal, detail string) error {
+	return stream.Send(&wire.ServeResponse{RequestId: head.RequestId, Refusal: refusal, Detail: detail, Load: p.load()})
 }
 
-// forward sends the request to the backend server and its answer back.
-func (g *BackendProxy) forward(stream wire.DRPCBackend_ServeStream, first *wire.ServeRequest) error {
+// forward sends the request to the backend server and streams the response to the entry box.
+func (p *BackendProxy) forward(stream wire.DRPCBackend_ServeStream, first *wire.ServeRequest) error {
 	head := first.Head
-	request, err := g.newBackendRequest(stream, first)
+	request, err := p.newBackendRequest(stream, first)
 	if err != nil {
-		return g.sendFailure(stream, head, err)
+		return p.sendFailure(stream, head, err)
 	}
-	client := g.client
+	client := p.client
 	if !head.Repeatable && request.Body == http.NoBody {
-		client = g.noReuseClient
+		client = p.noReuseClient
 	}
 	response, err := client.Do(request)
 	if err != nil {
 		if neverConnected(err) {
-			g.dedup.Abandon(route.RequestID(head.RequestId), route.AttemptID(head.Attempt), g.clock.Now())
-			g.releaseClaims(head)
-			g.metrics.gateRequests.WithLabelValues(refusalLabel(wire.Refusal_REFUSAL_UNREACHABLE)).Inc()
-			return g.sendRefusal(stream, head, wire.Refusal_REFUSAL_UNREACHABLE, err.Error())
+			p.dedup.Abandon(route.RequestID(head.RequestId), route.AttemptID(head.Attempt), p.clock.Now())
+			p.releaseClaims(head)
+			p.metrics.gateRequests.WithLabelValues(refusalLabel(wire.Refusal_REFUSAL_UNREACHABLE)).Inc()
+			return p.sendRefusal(stream, head, wire.Refusal_REFUSAL_UNREACHABLE, err.Error())
 		}
-		return g.sendFailure(stream, head, err)
+		return p.sendFailure(stream, head, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	return g.sendResponse(stream, head, response)
+	return p.sendResponse(stream, head, response)
 }
 
-// neverConnected reports that no connection was opened, so that the backend
-// server never saw the request.
+// neverConnected reports whether err means that no connection was opened, so that the backend
+// server cannot have received the request.
 func neverConnected(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func (g *BackendProxy) sendFailure(stream wire.DRPCBackend_ServeStream, head *wire.RequestHead, err error) error {
-	g.metrics.gateRequests.WithLabelValues("failed").Inc()
-	return stream.Send(&wire.ServeResponse{RequestId: head.RequestId, Failed: true, Detail: err.Error(), Load: g.load()})
+func (p *BackendProxy) sendFailure(stream wire.DRPCBackend_ServeStream, head *wire.RequestHead, err error) error {
+	p.metrics.gateRequests.WithLabelValues("failed").Inc()
+	return stream.Send(&wire.ServeResponse{RequestId: head.RequestId, Failed: true, Detail: err.Error(), Load: p.load()})
 }
 
-func (g *BackendProxy) newBackendRequest(stream wire.DRPCBackend_ServeStream, first *wire.ServeRequest) (*http.Request, error) {
+func (p *BackendProxy) newBackendRequest(stream wire.DRPCBackend_ServeStream, first *wire.ServeRequest) (*http.Request, error) {
 	head := first.Head
-	base := g.serviceURLs[member.Service(head.Service)]
+	base := p.serviceURLs[member.Service(head.Service)]
 	if head.Version != "" {
-		base = g.engineURL
+		base = p.engineURL
 	}
 	var body io.Reader = http.NoBody
 	switch {
 	case !first.End:
-		body = &streamBody{stream: stream, rest: first.Body}
+		body = &streamBody{stream: stream, buffered: first.Body}
 	case len(first.Body) > 0:
-		// Without a way to rewind it, the client cannot send it a second time.
+		// The wrapper hides the type of the reader, without which the client cannot rewind the
+		// body and resend the request.
 		body = struct{ io.Reader }{bytes.NewReader(first.Body)}
 	}
 	request, err := http.NewRequestWithContext(stream.Context(), head.Method, base+head.Path, body)
@@ -332,16 +337,16 @@
 	return request, nil
 }
 
-// streamBody reads the body from the frames that follow the head.
+// streamBody reads a request body from the frames of a Serve stream.
 type streamBody struct {
-	stream wire.DRPCBackend_ServeStream
-	rest   []byte
-	ended  bool
+	stream   wire.DRPCBackend_ServeStream
+	buffered []byte
+	ended    bool
 }
 
 // Read implements io.Reader.
 func (b *streamBody) Read(buffer []byte) (int, error) {
-	for len(b.rest) == 0 {
+	for len(b.buffered) == 0 {
 		if b.ended {
 			return 0, io.EOF
 		}
@@ -349,20 +354,20 @@
 		if err != nil {
 			return 0, fmt.Errorf("reading the request's body: %w", unexpectedEOF(err))
 		}
-		b.rest = frame.Body
+		b.buffered = frame.Body
 		b.ended = frame.End
 	}
-	n := copy(buffer, b.rest)
-	b.rest = b.rest[n:]
+	n := copy(buffer, b.buffered)
+	b.buffered = b.buffered[n:]
 	return n, nil
 }
 
-// responseBuffers keeps the buffers through which answers pass.
+// responseBuffers holds the buffers for reading response bodies.
 var responseBuffers = sync.Pool{New: func() any { return new([bodyChunkSize]byte) }}
 
-// sendResponse sends the backend server's answer in frames; the last one says whether
-// the answer is whole.
-func (g *BackendProxy) sendResponse(stream wire.DRPCBackend_ServeStream, head *wire.RequestHead, response *http.Response) error {
+// sendResponse sends the backend server's response in frames. The last frame states whether the
+// response is complete: it sets End if so and Failed otherwise.
+func (p *BackendProxy) sendResponse(stream wire.DRPCBackend_ServeStream, head *wire.RequestHead, response *http.Response) error {
 	frame := &wire.ServeResponse{
 		RequestId: head.RequestId,
 		Head: &wire.AnswerHead{
@@ -382,15 +387,15 @@
 		if err != nil {
 			frame.End = errors.Is(err, io.EOF)
 			frame.Failed = !frame.End
-			frame.Load = g.load()
+			frame.Load = p.load()
 			if frame.Failed {
 				frame.Detail = err.Error()
 			}
-			g.metrics.gateRequests.WithLabelValues(responseLabel(frame)).Inc()
+			p.metrics.gateRequests.WithLabelValues(responseLabel(frame)).Inc()
 			return stream.Send(frame)
 		}
 		if err := stream.Send(frame); err != nil {
-			g.metrics.gateRequests.WithLabelValues("caller-gone").Inc()
+			p.metrics.gateRequests.WithLabelValues("caller-gone").Inc()
 			return err
 		}
 		frame = &wire.ServeResponse{RequestId: head.RequestId}
--- a/internal/daemon/backendproxy_test.go
+++ b/internal/daemon/backendproxy_test.go
@@ -18,13 +18,14 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// proxyFixture is an agent's gate before a backend server that a test writes.
+// proxyFixture is an agent's backend proxy in front of a test's backend server, with a forwarder
+// that sends requests to it.
 type proxyFixture struct {
 	proxy     *BackendProxy
 	address   member.Address
 	target    *route.Target
 	forwarder *forwarder
-	// witnesses go with each request.
+	// witnesses are the witness addresses sent with each request.
 	witnesses []member.Address
 }
 
@@ -34,23 +35,23 @@
 	t.Helper()
 	clock := clockwork.NewRealClock()
 	record := func() member.Record { return member.Record{Box: "b", Incarnation: testIncarnation} }
-	g := &proxyFixture{proxy: NewBackendProxy("", map[member.Service]string{"chizu": backend}, newTestPeerPool(t), record, clock, nopLogger(), NewMetrics())}
-	g.proxy.drainDelay = 10 * time.Millisecond
+	f := &proxyFixture{proxy: NewBackendProxy("", map[member.Service]string{"chizu": backend}, newTestPeerPool(t), record, clock, nopLogger(), NewMetrics())}
+	f.proxy.drainDelay = 10 * time.Millisecond
 	mux := drpcmux.New()
-	require.NoError(t, wire.DRPCRegisterBackend(mux, g.proxy))
-	g.address = listenPeers(t, mux)
-	g.forwarder = &forwarder{peers: newTestPeerPool(t), clock: clock, metrics: NewMetrics()}
+	require.NoError(t, wire.DRPCRegisterBackend(mux, f.proxy))
+	f.address = listenPeers(t, mux)
+	f.forwarder = &forwarder{peers: newTestPeerPool(t), clock: clock, metrics: NewMetrics()}
 	router := route.NewRouter("kita")
 	router.Set(member.Record{
-		Box: "b", Role: member.RoleAgent, Status: member.StatusUp, Peers: g.address, Incarnation: testIncarnation,
+		Box: "b", Role: member.RoleAgent, Status: member.StatusUp, Peers: f.address, Incarnation: testIncarnation,
 		Services: []member.Service{"chizu"},
 	})
-	g.target, _ = router.Pick(route.ServiceVersion{Service: "chizu"}, nil, clock.Now())
-	return g
+	f.target, _ = router.Pick(route.ServiceVersion{Service: "chizu"}, nil, clock.Now())
+	return f
 }
 
-// send makes one attempt and returns what the caller would have got.
-func (g *proxyFixture) send(t *testing.T, request *http.Request, id, attempt string) (outcome, *recorder, error) {
+// send makes one attempt and returns its outcome and the response that a caller would receive.
+func (f *proxyFixture) send(t *testing.T, request *http.Request, id, attempt string) (outcome, *recorder, error) {
 	t.Helper()
 	body, err := newBodyReader(request.Context(), request, 1<<20)
 	require.NoError(t, err)
@@ -63,11 +64,11 @@
 		x.deadline = deadline
 		x.request = request.WithContext(context.WithoutCancel(request.Context()))
 	}
-	result, err := g.forwarder.attempt(context.WithoutCancel(request.Context()), x, g.target, route.AttemptID(attempt), g.witnesses)
+	result, err := f.forwarder.attempt(context.WithoutCancel(request.Context()), x, f.target, route.AttemptID(attempt), f.witnesses)
 	return result, writer, err
 }
 
-// recorder is a ResponseWriter that can be flushed.
+// recorder is an http.ResponseWriter that records the response and implements http.Flusher.
 type recorder struct {
 	header http.Header
 	status int
@@ -87,7 +88,7 @@
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://entry/path?q=1", body)
 	require.NoError(t, err)
 	if request.Body != http.NoBody && request.ContentLength == 0 {
-		request.ContentLength = -1 // as a server gives a length that is not known
+		request.ContentLength = -1 // an HTTP server reports an unknown length as -1
 	}
 	return request
 }
@@ -107,7 +108,7 @@
 }
 
 func TestResponseIsForwardedInFull(t *testing.T) {
-	g := newProxyFixture(t, serveHTTP(t, http.HandlerFunc(echoRequest)))
+	f := newProxyFixture(t, serveHTTP(t, http.HandlerFunc(echoRequest)))
 	lengths := map[string]int{"short": 5, "empty": 0, "long": 1 << 20, "of unknown length": 2}
 	for name, body := range map[string]io.Reader{
 		"short": strings.NewReader("hello"), "empty": http.NoBody,
@@ -115,7 +116,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			request := newPost(t, body)
-			result, got, err := g.send(t, request, name, name)
+			result, got, err := f.send(t, request, name, name)
 			require.NoError(t, err)
 			require.Equal(t, outcomeDone, result)
 			require.Equal(t, http.StatusAccepted, got.status)
@@ -128,112 +129,112 @@
 
 func TestProxyRefusesRequestsItMustNotRun(t *testing.T) {
 	ran := 0
-	g := newProxyFixture(t, serveHTTP(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { ran++ })))
-	result, _, _ := g.send(t, newPost(t, http.NoBody), "one", "one/1")
+	f := newProxyFixture(t, serveHTTP(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { ran++ })))
+	result, _, _ := f.send(t, newPost(t, http.NoBody), "one", "one/1")
 	require.Equal(t, outcomeDone, result)
 
-	result, _, err := g.send(t, newPost(t, http.NoBody), "one", "one/2")
-	require.Equal(t, outcomeUnknown, result, "the id ran, so it cannot be said that it did not")
+	result, _, err := f.send(t, newPost(t, http.NoBody), "one", "one/2")
+	require.Equal(t, outcomeUnknown, result, "the id ran before, so the outcome must not be not-run")
 	require.Equal(t, wire.Refusal_REFUSAL_DUPLICATE, refusalOf(t, err))
 
-	g.target.Incarnation++
-	result, _, err = g.send(t, newPost(t, http.NoBody), "two", "two/1")
+	f.target.Incarnation++
+	result, _, err = f.send(t, newPost(t, http.NoBody), "two", "two/1")
 	require.Equal(t, outcomeNotExecuted, result)
 	require.Equal(t, wire.Refusal_REFUSAL_INCARNATION, refusalOf(t, err))
-	g.target.Incarnation--
+	f.target.Incarnation--
 
-	g.proxy.Disable(route.ServiceVersion{Service: "chizu"})
-	result, _, err = g.send(t, newPost(t, http.NoBody), "two", "two/2")
+	f.proxy.Disable(route.ServiceVersion{Service: "chizu"})
+	result, _, err = f.send(t, newPost(t, http.NoBody), "two", "two/2")
 	require.Equal(t, outcomeNotExecuted, result)
 	require.Equal(t, wire.Refusal_REFUSAL_VERSION, refusalOf(t, err))
 
-	stopService(t, g.proxy)
-	result, _, err = g.send(t, newPost(t, http.NoBody), "two", "two/3")
+	stopService(t, f.proxy)
+	result, _, err = f.send(t, newPost(t, http.NoBody), "two", "two/3")
 	require.Equal(t, outcomeNotExecuted, result)
 	require.Equal(t, wire.Refusal_REFUSAL_LEAVING, refusalOf(t, err))
 	require.Equal(t, 1, ran)
 }
 
 func TestFailedConnectionLeavesRequestRetryable(t *testing.T) {
-	g := newProxyFixture(t, "http://127.0.0.1:1")
-	result, _, err := g.send(t, newPost(t, http.NoBody), "one", "one/1")
+	f := newProxyFixture(t, "http://127.0.0.1:1")
+	result, _, err := f.send(t, newPost(t, http.NoBody), "one", "one/1")
 	require.Equal(t, outcomeNotExecuted, result)
 	require.Equal(t, wire.Refusal_REFUSAL_UNREACHABLE, refusalOf(t, err))
-	require.Equal(t, route.StartAllowed, g.proxy.dedup.Start("one", "one/2", false, time.Now()))
+	require.Equal(t, route.StartAllowed, f.proxy.dedup.Start("one", "one/2", false, time.Now()))
 }
 
 func TestTruncatedBackendResponseIsNeverComplete(t *testing.T) {
-	g := newProxyFixture(t, serveHTTP(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	f := newProxyFixture(t, serveHTTP(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "half of the an")
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	})))
-	result, got, _ := g.send(t, newPost(t, http.NoBody), "one", "one/1")
+	result, got, _ := f.send(t, newPost(t, http.NoBody), "one", "one/1")
 	require.Equal(t, outcomeTruncated, result)
 	require.Equal(t, "half of the an", got.body.String())
 }
 
 func TestMissingBackendResponseIsUnknownOutcome(t *testing.T) {
-	g := newProxyFixture(t, serveHTTP(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })))
-	result, _, _ := g.send(t, newPost(t, http.NoBody), "one", "one/1")
+	f := newProxyFixture(t, serveHTTP(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })))
+	result, _, _ := f.send(t, newPost(t, http.NoBody), "one", "one/1")
 	require.Equal(t, outcomeUnknown, result)
 }
 
 func TestDeadlineAfterStartIsUnknownOutcomeAndCancelsBackendRequest(t *testing.T) {
-	told := make(chan struct{})
-	g := newProxyFixture(t, serveHTTP(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	canceled := make(chan struct{})
+	f := newProxyFixture(t, serveHTTP(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
-		close(told)
+		close(canceled)
 	})))
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	result, _, err := g.send(t, newRequest(ctx, t, http.NoBody), "one", "one/1")
+	result, _, err := f.send(t, newRequest(ctx, t, http.NoBody), "one", "one/1")
 	require.Equal(t, outcomeUnknown, result)
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	select {
-	case <-told:
+	case <-canceled:
 	case <-time.After(waitTimeout):
-		require.Fail(t, "the cancel did not reach the backend server")
+		require.Fail(t, "the request to the backend server was not canceled")
 	}
 }
 
-// The agent has the request but has not looked at it: the entry box settles it,
-// and when the agent comes to it, it must not run.
+// The entry box settles an attempt as not started while its request is still on the way to the
+// agent. When the agent then receives the request, it must not run it.
 func TestSettledAttemptNeverStarts(t *testing.T) {
-	g := newProxyFixture(t, serveHTTP(t, http.HandlerFunc(echoRequest)))
-	answer, err := g.proxy.Settle(t.Context(), &wire.SettleRequest{Attempt: "one/1", Incarnation: uint64(testIncarnation)})
+	f := newProxyFixture(t, serveHTTP(t, http.HandlerFunc(echoRequest)))
+	response, err := f.proxy.Settle(t.Context(), &wire.SettleRequest{Attempt: "one/1", Incarnation: uint64(testIncarnation)})
 	require.NoError(t, err)
-	require.True(t, answer.Known)
-	require.False(t, answer.Started)
-	result, _, err := g.send(t, newPost(t, http.NoBody), "one", "one/1")
+	require.True(t, response.Known)
+	require.False(t, response.Started)
+	result, _, err := f.send(t, newPost(t, http.NoBody), "one", "one/1")
 	require.Equal(t, outcomeNotExecuted, result)
 	require.Equal(t, wire.Refusal_REFUSAL_SETTLED, refusalOf(t, err))
-	answer, err = g.proxy.Settle(t.Context(), &wire.SettleRequest{Attempt: "x", Incarnation: uint64(testIncarnation) - 1})
+	response, err = f.proxy.Settle(t.Context(), &wire.SettleRequest{Attempt: "x", Incarnation: uint64(testIncarnation) - 1})
 	require.NoError(t, err)
-	require.False(t, answer.Known, "another incarnation's requests are not known here")
+	require.False(t, response.Known, "the agent must not report on attempts of another incarnation")
 }
 
 func TestStopWaitsForRequestsInProgress(t *testing.T) {
-	begun, proceed := make(chan struct{}), make(chan struct{})
-	g := newProxyFixture(t, serveHTTP(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		close(begun)
+	started, proceed := make(chan struct{}), make(chan struct{})
+	f := newProxyFixture(t, serveHTTP(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		close(started)
 		<-proceed
 		_, _ = io.WriteString(w, "done")
 	})))
 	results := make(chan outcome)
 	go func() {
-		result, _, _ := g.send(t, newPost(t, http.NoBody), "one", "one/1")
+		result, _, _ := f.send(t, newPost(t, http.NoBody), "one", "one/1")
 		results <- result
 	}()
-	<-begun
+	<-started
 	stopped := make(chan struct{})
 	go func() {
-		stopService(t, g.proxy)
+		stopService(t, f.proxy)
 		close(stopped)
 	}()
 	select {
 	case <-stopped:
-		require.Fail(t, "stopped while a request was in progress")
+		require.Fail(t, "the proxy stopped while a request was in progress")
 	case <-time.After(50 * time.Millisecond):
 	}
 	close(proceed)
@@ -241,7 +242,7 @@
 	<-stopped
 }
 
-// misroutingAgent answers with another request's id, as one that mixes up streams.
+// misroutingAgent responds with the id of another request, as if it had mixed up two streams.
 type misroutingAgent struct {
 	wire.DRPCBackendUnimplementedServer
 }
@@ -254,11 +255,11 @@
 }
 
 func TestResponseOfAnotherRequestIsDiscarded(t *testing.T) {
-	g := newProxyFixture(t, "http://127.0.0.1:1")
+	f := newProxyFixture(t, "http://127.0.0.1:1")
 	mux := drpcmux.New()
 	require.NoError(t, wire.DRPCRegisterBackend(mux, &misroutingAgent{}))
-	g.target.Address = listenPeers(t, mux)
-	result, got, err := g.send(t, newPost(t, http.NoBody), "one", "one/1")
+	f.target.Address = listenPeers(t, mux)
+	result, got, err := f.send(t, newPost(t, http.NoBody), "one", "one/1")
 	require.Equal(t, outcomeUnknown, result)
 	require.ErrorIs(t, err, errResponseMismatch)
 	require.Empty(t, got.body.String())
@@ -268,30 +269,30 @@
 	read := func(b *bodyReader) (string, error) {
 		var all strings.Builder
 		for index := 0; ; index++ {
-			piece, err := b.chunk(t.Context(), index)
-			if err != nil || piece == nil {
+			data, err := b.chunk(t.Context(), index)
+			if err != nil || data == nil {
 				return all.String(), err
 			}
-			all.Write(piece)
+			all.Write(data)
 		}
 	}
 	text := strings.Repeat("abcdefgh", bodyChunkSize/4)
 	request := newPost(t, io.MultiReader(strings.NewReader(text)))
-	kept, err := newBodyReader(t.Context(), request, 1<<20)
+	replayed, err := newBodyReader(t.Context(), request, 1<<20)
 	require.NoError(t, err)
 	for range 2 {
-		got, err := read(kept)
+		got, err := read(replayed)
 		require.NoError(t, err)
 		require.Equal(t, text, got)
 	}
-	require.True(t, kept.replayable())
-	spent, err := newBodyReader(t.Context(), newPost(t, io.MultiReader(strings.NewReader(text))), 10)
+	require.True(t, replayed.replayable())
+	overLimit, err := newBodyReader(t.Context(), newPost(t, io.MultiReader(strings.NewReader(text))), 10)
 	require.NoError(t, err)
-	got, err := read(spent)
+	got, err := read(overLimit)
 	require.NoError(t, err)
-	require.Equal(t, text, got, "the first attempt gets it whole")
-	require.False(t, spent.replayable())
-	_, err = read(spent)
+	require.Equal(t, text, got, "the first attempt must get the complete body")
+	require.False(t, overLimit.replayable())
+	_, err = read(overLimit)
 	require.ErrorIs(t, err, errBodyDiscarded)
 	broken, err := newBodyReader(t.Context(), newPost(t, io.MultiReader(strings.NewReader("a"), brokenReader{})), 1<<20)
 	require.NoError(t, err)
@@ -299,7 +300,7 @@
 	require.ErrorIs(t, err, errBroken)
 }
 
-var errBroken = errors.New("caller went away")
+var errBroken = errors.New("caller closed the connection")
 
 type brokenReader struct{}
 
--- a/internal/daemon/callerserver.go
+++ b/internal/daemon/callerserver.go
@@ -22,27 +22,27 @@
 )
 
 const (
-	// maxAttempts bounds the tries of one request.
+	// maxAttempts is the maximum number of attempts for one request.
 	maxAttempts = 4
-	// retryRatio and retryBurst bound the tries of all requests together that
-	// follow a failure; refusals that prove not-run cost nothing.
+	// retryRatio is the number of retries that each request adds to the shared retry
+	// budget, and retryBurst the maximum that the budget accumulates. Retries of
+	// attempts that were not executed are not charged to the budget.
 	retryRatio = 0.2
 	retryBurst = 50
-	// maxHeaderBytes bounds a request's headers, in bytes.
+	// maxHeaderBytes is the maximum size of a request's headers, in bytes.
 	maxHeaderBytes = 64 << 10
-	// headerTimeout bounds how long a caller may take to send its headers.
+	// headerTimeout limits how long a caller may take to send the request headers.
 	headerTimeout = 10 * time.Second
-	// httpIdleTimeout closes connections that callers hold open without use.
+	// httpIdleTimeout is how long an idle connection from a caller stays open.
 	httpIdleTimeout = 2 * time.Minute
-	// maxCallerEntries limits the entry boxes told to one caller.
+	// maxCallerEntries is the maximum number of entry boxes in one EntriesResponse.
 	maxCallerEntries = 16
 )
 
-// servicesPath stands before a service's name in a request's path.
+// servicesPath is the path prefix before the service name in a request.
 const servicesPath = "/v1/services/"
 
-// The reasons for which a request is refused, as they stand in answers and
-// metrics.
+// Refusal reasons, as used in responses and as metric labels.
 const (
 	reasonUnknownService = "unknown-service"
 	reasonUnknownGroup   = "unknown-group"
@@ -52,7 +52,8 @@
 	reasonBoxesFailed    = "boxes-refused"
 )
 
-// CallerServer answers callers over HTTP.
+// CallerServer is the HTTP server for callers. It queues their requests, forwards each one
+// to a box, and lists the entry boxes of the region.
 type CallerServer struct {
 	options   settings.Requests
 	region    member.Region
@@ -70,7 +71,7 @@
 	admissions map[member.Service]*route.Admission
 }
 
-// CallerServerOptions are the parts that Callers works with.
+// CallerServerOptions configures a CallerServer.
 type CallerServerOptions struct {
 	Settings settings.Requests
 	Region   member.Region
@@ -79,15 +80,15 @@
 	Clock    clockwork.Clock
 	Log      zerolog.Logger
 	Metrics  *Metrics
-	// Listen opens the listener once Ready holds; an entry box that knows nothing
-	// yet would only refuse what another one could answer.
+	// Listen opens the listener. It is called once Ready returns true: before its view is
+	// loaded, an entry box would refuse requests that another one could serve.
 	Listen func() (net.Listener, error)
 	Ready  func() bool
-	// OnListening is called when callers are answered.
+	// OnListening is called after the listener is open, before the first request is served.
 	OnListening func()
 }
 
-// NewCallerServer answers callers as soon as it is ready to.
+// NewCallerServer starts a CallerServer. It opens its listener once options.Ready returns true.
 func NewCallerServer(options CallerServerOptions) *CallerServer {
 	c := &CallerServer{
 		options: options.Settings, region: options.Region, view: options.View,
@@ -107,14 +108,14 @@
 	}
 	c.tasks.Go(func(ctx context.Context) {
 		if err := c.serveWhenReady(ctx, options); err != nil && ctx.Err() == nil && !errors.Is(err, http.ErrServerClosed) {
-			c.log.Error().Err(err).Msg("callers' listener failed")
+			c.log.Error().Err(err).Msg("caller server stopped: listening or serving failed")
 		}
 	})
 	c.tasks.Go(c.followView)
 	return c
 }
 
-// serveWhenReady waits until the process is ready, then answers until the server stops.
+// serveWhenReady waits until options.Ready returns true, then serves until the server stops.
 func (c *CallerServer) serveWhenReady(ctx context.Context, options CallerServerOptions) error {
 	for {
 		changed := c.view.Changed()
@@ -135,7 +136,7 @@
 	return c.server.Serve(listener)
 }
 
-// newEcho returns a router whose own errors are problem documents.
+// newEcho returns a router that reports its errors as problem documents.
 func newEcho() *echo.Echo {
 	router := echo.New()
 	router.HideBanner = true
@@ -144,20 +145,21 @@
 			return
 		}
 		status, detail := http.StatusInternalServerError, err.Error()
-		var known *echo.HTTPError
-		if errors.As(err, &known) {
-			status, detail = known.Code, fmt.Sprint(known.Message)
+		var httpError *echo.HTTPError
+		if errors.As(err, &httpError) {
+			status, detail = httpError.Code, fmt.Sprint(httpError.Message)
 		}
 		writeProblem(c.Response(), Problem{Status: status, Detail: detail})
 	}
 	return router
 }
 
-// String returns the service's name.
+// String returns the name of the service for logs.
 func (c *CallerServer) String() string { return "callers" }
 
-// Stop goes on answering for as long as callers may keep the box's address, then
-// finishes what is in progress. The box has announced before that it is leaving.
+// Stop keeps serving for Settings.EntriesTTL, because callers may use the box's address for
+// that long, and then waits for the requests in progress. The box must have announced
+// that it is leaving before Stop is called.
 func (c *CallerServer) Stop(ctx context.Context) error {
 	c.leaving.Store(true)
 	select {
@@ -168,8 +170,8 @@
 	return errors.Join(err, c.tasks.Stop(ctx))
 }
 
-// closeWhenLeaving tells callers with each answer not to use their connection
-// again, so that none is cut off when the listener closes.
+// closeWhenLeaving is middleware that sets "Connection: close" on every response once the
+// server is stopping. Callers then open no request on a connection that is about to close.
 func (c *CallerServer) closeWhenLeaving(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(e echo.Context) error {
 		if c.leaving.Load() {
@@ -179,14 +181,14 @@
 	}
 }
 
-// EntriesResponse is what a caller keeps for a while.
+// EntriesResponse lists entry boxes for a service. A caller may cache it for TTLSeconds.
 type EntriesResponse struct {
 	Service    member.Service `json:"service"`
 	TTLSeconds int            `json:"ttl_seconds"`
 	Entries    []EntryAddress `json:"entries"`
 }
 
-// EntryAddress is one entry box that a caller may use.
+// EntryAddress is the address of an entry box that accepts requests from callers.
 type EntryAddress struct {
 	Address       member.Address       `json:"address"`
 	FailureDomain member.FailureDomain `json:"failure_domain"`
@@ -201,14 +203,14 @@
 	return e.JSON(http.StatusOK, newEntriesResponse(c.view, service, c.region, time.Duration(c.options.EntriesTTL)))
 }
 
-// newEntriesResponse names the entry boxes of a region, spread by a hash that differs
-// from caller to caller only in the order.
+// newEntriesResponse lists up to maxCallerEntries entry boxes of a region, or of all regions
+// if the region has none. The order is random for each response, which spreads the callers.
 func newEntriesResponse(view *View, service member.Service, region member.Region, ttl time.Duration) EntriesResponse {
 	entries := view.Entries(region)
 	if len(entries) == 0 {
 		entries = view.Entries("")
 	}
-	answer := EntriesResponse{Service: service, TTLSeconds: int(ttl / time.Second), Entries: []EntryAddress{}}
+	response := EntriesResponse{Service: service, TTLSeconds: int(ttl / time.Second), Entries: []EntryAddress{}}
 	byAddress := make(map[member.Address]member.Record, len(entries))
 	addresses := make([]member.Address, 0, len(entries))
 	for _, entry := range entries {
@@ -218,9 +220,9 @@
 		}
 	}
 	for _, address := range member.Rank(rand.Text(), addresses, maxCallerEntries) {
-		answer.Entries = append(answer.Entries, EntryAddress{Address: address, FailureDomain: byAddress[address].FailureDomain})
+		response.Entries = append(response.Entries, EntryAddress{Address: address, FailureDomain: byAddress[address].FailureDomain})
 	}
-	return answer
+	return response
 }
 
 func (c *CallerServer) serve(e echo.Context) error {
@@ -233,9 +235,9 @@
 		writeProblem(w, *problem)
 		return nil
 	}
-	place, refusal := c.resolveVersion(x)
-	if refusal != nil {
-		c.refuse(x, *refusal)
+	version, refused := c.resolveVersion(x)
+	if refused != nil {
+		c.refuse(x, *refused)
 		return nil
 	}
 	body, err := newBodyReader(ctx, r, c.options.RetryBodyLimit)
@@ -245,6 +247,6 @@
 	}
 	x.body = body
 	_ = http.NewResponseController(w).EnableFullDuplex()
-	c.admit(ctx, x, place)
+	c.admit(ctx, x, version)
 	return nil
 }
--- a/internal/daemon/chunkfetcher.go
+++ b/internal/daemon/chunkfetcher.go
@@ -14,23 +14,24 @@
 )
 
 const (
-	// holdingsInterval is how often neighbours are asked what they hold, for a
-	// manifest of up to holdingsBaseChunks chunks. Longer ones are asked less often,
-	// so that the answers take the same bandwidth.
+	// holdingsInterval is how often other boxes are polled for the chunks that they hold of a
+	// manifest with up to holdingsBaseChunks chunks. The interval grows with the number of
+	// chunks above that, so that the responses use the same bandwidth.
 	holdingsInterval   = 200 * time.Millisecond
 	holdingsBaseChunks = 500
-	// stallTimeout ends a fetch from a peer that gives nothing for so long.
+	// stallTimeout cancels a fetch from a peer that sends no data for this long. It also
+	// limits a Holdings call.
 	stallTimeout = 2 * time.Second
-	// sourceTimeout ends a draw from a source.
+	// sourceTimeout limits the fetch of one chunk from the weight sources.
 	sourceTimeout = 30 * time.Second
-	// fetchRetryDelay is the wait before a draw that failed is tried again.
+	// fetchRetryDelay is the delay before a failed fetch is retried.
 	fetchRetryDelay = time.Second
-	// progressSteps is in how many steps progress is told.
+	// progressSteps is the number of steps in which download progress is reported.
 	progressSteps = 4
 )
 
-// chunkFetcher gets the missing chunks of one version. One goroutine makes all
-// decisions; the transfers tell it their results.
+// chunkFetcher fetches the missing chunks of one version from neighbours and weight sources. All
+// of its state belongs to the goroutine of run; transfers send their results to it.
 type chunkFetcher struct {
 	loader          *Loader
 	job             *versionJob
@@ -40,7 +41,7 @@
 	holdings        chan holdingsResult
 	holdingsPending map[string]bool
 	reportedStep    int
-	// originFetchersHash names the drawers that the picker has.
+	// originFetchersHash is the hash of the origin fetchers that the picker uses.
 	originFetchersHash uint64
 }
 
@@ -56,18 +57,18 @@
 	err  error
 }
 
-func newChunkFetcher(c *Loader, job *versionJob, manifest *weights.Manifest) *chunkFetcher {
+func newChunkFetcher(l *Loader, job *versionJob, manifest *weights.Manifest) *chunkFetcher {
 	return &chunkFetcher{
-		loader: c, job: job, manifest: manifest,
-		picker: weights.NewPicker(manifest, string(c.options.Self), c.options.Store.Held(manifest.Digest()),
-			c.options.Picker, c.options.Clock.Now()),
+		loader: l, job: job, manifest: manifest,
+		picker: weights.NewPicker(manifest, string(l.options.Self), l.options.Store.Held(manifest.Digest()),
+			l.options.Picker, l.options.Clock.Now()),
 		results:         make(chan fetchResult),
 		holdings:        make(chan holdingsResult),
 		holdingsPending: make(map[string]bool),
 	}
 }
 
-// run returns when every chunk is held, the store is full or the context ends.
+// run fetches chunks until the box holds all of them, the store is full or the context ends.
 func (f *chunkFetcher) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -100,8 +101,9 @@
 	return holdingsInterval * time.Duration(max(holdingsBaseChunks, chunks)) / holdingsBaseChunks
 }
 
-// applySwarm takes over what monitors have told. The order of drawers is worked
-// out only when they have changed: every heartbeat names the neighbours anew.
+// applySwarm passes the neighbours and origin fetchers received from monitors to the picker. It
+// sets the origin fetchers, whose order must be computed, only when they have changed, because
+// every heartbeat response updates the swarm.
 func (f *chunkFetcher) applySwarm() {
 	f.job.mu.Lock()
 	defer f.job.mu.Unlock()
@@ -128,7 +130,8 @@
 	}
 }
 
-// handleResult keeps a chunk that verifies and notes everything else as a fault.
+// handleResult stores a fetched chunk if its digest is correct. Otherwise it counts a fault and
+// schedules a retry. It returns an error only if the store is full.
 func (f *chunkFetcher) handleResult(result fetchResult) error {
 	metrics := f.loader.options.Metrics
 	from := "peer"
@@ -149,7 +152,7 @@
 		return err
 	}
 	metrics.chunkFaults.WithLabelValues(from, faultLabel(err)).Inc()
-	f.loader.options.Log.Debug().Int("chunk", result.task.Chunk).Str("from", result.task.From).Err(err).Msg("chunk not taken")
+	f.loader.options.Log.Debug().Int("chunk", result.task.Chunk).Str("from", result.task.From).Err(err).Msg("fetching a chunk failed; it will be retried")
 	f.picker.Failed(result.task, f.loader.options.Clock.Now().Add(fetchRetryDelay))
 	return nil
 }
@@ -171,8 +174,8 @@
 func (f *chunkFetcher) reportProgress() {
 	total := len(f.manifest.Chunks)
 	held := total - f.picker.Missing()
-	if part := held * progressSteps / total; part != f.reportedStep {
-		f.reportedStep = part
+	if step := held * progressSteps / total; step != f.reportedStep {
+		f.reportedStep = step
 		f.loader.setCopy(f.job, member.PhaseFetching, held, "")
 	}
 }
@@ -188,7 +191,7 @@
 	return f.fetchFromPeer(ctx, address, task.Chunk)
 }
 
-// fetchFromSource reads a chunk from the weight store, else from the origin.
+// fetchFromSource reads a chunk from the weight store, or from the origin if that fails.
 func (f *chunkFetcher) fetchFromSource(ctx context.Context, index int) ([]byte, error) {
 	callCtx, cancel := context.WithTimeout(ctx, sourceTimeout)
 	defer cancel()
@@ -199,14 +202,14 @@
 	})
 }
 
-// errStalled reports a peer that gave nothing for stallTimeout.
+// errStalled means that a peer sent no data for stallTimeout.
 var errStalled = errors.New("transfer stalled")
 
 func (f *chunkFetcher) fetchFromPeer(ctx context.Context, address member.Address, index int) ([]byte, error) {
 	callCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stall := f.loader.options.Clock.AfterFunc(stallTimeout, func() { cancel(errStalled) })
-	defer stall.Stop()
+	stallTimer := f.loader.options.Clock.AfterFunc(stallTimeout, func() { cancel(errStalled) })
+	defer stallTimer.Stop()
 	digest := f.manifest.Digest()
 	stream, err := wire.NewDRPCChunksClient(f.loader.options.Peers.Conn(address)).
 		Fetch(callCtx, &wire.FetchRequest{Manifest: digest[:], Chunk: uint32(index)})
@@ -228,11 +231,12 @@
 			return nil, fmt.Errorf("chunk %d is longer than %d bytes: %w", index, size, weights.ErrDigestMismatch)
 		}
 		data = append(data, frame.Data...)
-		stall.Reset(stallTimeout)
+		stallTimer.Reset(stallTimeout)
 	}
 }
 
-// requestHoldings asks each neighbour that has answered the last time.
+// requestHoldings polls the boxes chosen by the picker for the chunks that they hold. It skips a
+// box whose previous poll is still pending.
 func (f *chunkFetcher) requestHoldings(ctx context.Context) {
 	digest := f.manifest.Digest()
 	for _, box := range f.picker.BoxesToPoll() {
@@ -244,11 +248,11 @@
 		go func() {
 			callCtx, cancel := context.WithTimeout(ctx, stallTimeout)
 			defer cancel()
-			answer, err := wire.NewDRPCChunksClient(f.loader.options.Peers.Conn(address)).
+			response, err := wire.NewDRPCChunksClient(f.loader.options.Peers.Conn(address)).
 				Holdings(callCtx, &wire.HoldingsRequest{Manifest: digest[:]})
 			result := holdingsResult{box: box, err: err}
 			if err == nil {
-				result.held = answer.Held
+				result.held = response.Held
 			}
 			select {
 			case f.holdings <- result:
--- a/internal/daemon/chunkserver.go
+++ b/internal/daemon/chunkserver.go
@@ -7,26 +7,26 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// chunkFrameSize is the size of the frames in which a chunk is sent, in bytes.
+// chunkFrameSize is the maximum size of the frames in which a chunk is sent, in bytes.
 const chunkFrameSize = 128 << 10
 
-// ChunkServer gives other agents the chunks that this one holds.
+// ChunkServer serves the chunks and manifests that this agent holds to other agents.
 type ChunkServer struct {
 	store   *weights.MemoryStore
 	metrics *Metrics
-	// slots bounds the chunks that are sent at once.
+	// slots limits the number of concurrent Fetch calls.
 	slots chan struct{}
 }
 
-// maxConcurrentChunks is how many chunks an agent sends at once.
+// maxConcurrentChunks is the maximum number of chunks that an agent sends concurrently.
 const maxConcurrentChunks = 8
 
-// NewChunkServer returns a server for what a store holds.
+// NewChunkServer returns a server for the chunks and manifests in store.
 func NewChunkServer(store *weights.MemoryStore, metrics *Metrics) *ChunkServer {
 	return &ChunkServer{store: store, metrics: metrics, slots: make(chan struct{}, maxConcurrentChunks)}
 }
 
-// Holdings tells which chunks of a version are held.
+// Holdings returns which chunks of a manifest this agent holds.
 func (s *ChunkServer) Holdings(_ context.Context, request *wire.HoldingsRequest) (*wire.HoldingsResponse, error) {
 	digest, err := weights.DigestFromBytes(request.Manifest)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return &wire.HoldingsResponse{Held: s.store.Held(digest)}, nil
 }
 
-// Manifest gives the manifest of a version; empty if it is not held.
+// Manifest returns the content of a manifest, or an empty response if it is not held.
 func (s *ChunkServer) Manifest(_ context.Context, request *wire.ManifestRequest) (*wire.ManifestResponse, error) {
 	digest, err := weights.DigestFromBytes(request.Manifest)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return &wire.ManifestResponse{Content: manifest.Raw()}, nil
 }
 
-// Fetch sends one chunk in frames.
+// Fetch sends one chunk in frames of up to chunkFrameSize bytes. It waits for a free slot first.
 func (s *ChunkServer) Fetch(request *wire.FetchRequest, stream wire.DRPCChunks_FetchStream) error {
 	digest, err := weights.DigestFromBytes(request.Manifest)
 	if err != nil {
--- a/internal/daemon/forward.go
+++ b/internal/daemon/forward.go
@@ -18,46 +18,46 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// settleTimeout bounds how long an agent is asked what became of a request.
+// settleTimeout limits a Settle call to an agent.
 const settleTimeout = time.Second
 
-// outcome is what one attempt came to.
+// outcome is the result of one attempt.
 type outcome int
 
 const (
-	// outcomeDone means that the whole answer was passed on.
+	// outcomeDone means that the complete response was forwarded.
 	outcomeDone outcome = iota
-	// outcomeNotExecuted means that the attempt surely did not start and never will.
+	// outcomeNotExecuted means that the attempt has not started and never will.
 	outcomeNotExecuted
-	// outcomeUnknown means that the attempt may have run, and nothing of its
-	// answer was passed on.
+	// outcomeUnknown means that the attempt may have run, and no part of its
+	// response was forwarded.
 	outcomeUnknown
-	// outcomeTruncated means that the answer broke off after part of it was passed on.
+	// outcomeTruncated means that the response ended early, after part of it was forwarded.
 	outcomeTruncated
-	// outcomeCallerGone means that the caller went away.
+	// outcomeCallerGone means that the caller closed its connection.
 	outcomeCallerGone
 )
 
-// String names the outcome for metrics and logs.
+// String returns the name of the outcome for metrics, logs and the outcome header.
 func (o outcome) String() string {
 	return [...]string{"answered", "not-run", "unknown", "cut", "caller-gone"}[o]
 }
 
-// errResponseMismatch reports an answer that carries another request's id.
+// errResponseMismatch means that a response carries the id of another request.
 var errResponseMismatch = errors.New("answer belongs to another request")
 
-// refusedError carries the agent's reason.
+// refusedError is the error of an attempt that the agent refused.
 type refusedError struct {
 	refusal wire.Refusal
 	detail  string
 }
 
-// Error names the reason.
+// Error returns the agent's reason and its details.
 func (e *refusedError) Error() string {
 	return fmt.Sprintf("agent refused: %v %s", e.refusal, e.detail)
 }
 
-// exchange is one caller's request on its way.
+// exchange is a request from a caller and the state of its processing.
 type exchange struct {
 	id         route.RequestID
 	group      table.Group
@@ -65,7 +65,7 @@
 	version    table.ModelVersion
 	path       string
 	repeatable bool
-	// hasCallerID is set if the caller chose the id, and so can send it again.
+	// hasCallerID is set if the caller chose the id. Only then can it retry under the same id.
 	hasCallerID bool
 	priority    int
 	deadline    time.Time
@@ -73,19 +73,19 @@
 	writer      http.ResponseWriter
 	body        *bodyReader
 	arrived     time.Time
-	// frames counts the frames of the answer, as a measure of the work done.
+	// frames counts the response frames as a measure of the work done.
 	frames atomic.Int64
 }
 
-// forwarder sends attempts to agents.
+// forwarder sends requests to agents, one attempt at a time.
 type forwarder struct {
 	peers   *PeerPool
 	clock   clockwork.Clock
 	metrics *Metrics
 }
 
-// attempt sends the request to one box. With outcomeNotExecuted and outcomeUnknown
-// nothing has been written to the caller.
+// attempt sends the request to one box and forwards the response. If it returns
+// outcomeNotExecuted or outcomeUnknown, nothing has been written to the caller.
 func (f *forwarder) attempt(ctx context.Context, x *exchange, target *route.Target, attempt route.AttemptID, witnesses []member.Address) (outcome, error) {
 	target.Start()
 	defer target.Release()
@@ -106,7 +106,7 @@
 		target.Failed(f.clock.Now())
 		return f.settle(ctx, x, target, attempt, err)
 	}
-	sent := make(chan error, 1)
+	bodySent := make(chan error, 1)
 	go func() {
 		var err error
 		if !first.End {
@@ -115,7 +115,7 @@
 		if errors.Is(err, errCallerBody) {
 			cancel()
 		}
-		sent <- err
+		bodySent <- err
 		f.abortIfStalled(attemptCtx, x, target, cancelCause)
 	}()
 	result, err := f.receive(ctx, x, target, attempt, stream)
@@ -123,7 +123,7 @@
 	if cause := context.Cause(attemptCtx); result == outcomeTruncated && errors.Is(cause, errSilent) {
 		err = cause
 	}
-	bodyErr := <-sent
+	bodyErr := <-bodySent
 	if result == outcomeUnknown && errors.Is(bodyErr, errCallerBody) {
 		return outcomeCallerGone, bodyErr
 	}
@@ -148,50 +148,51 @@
 	return head
 }
 
-// silentStallTimeout is how long an answer in progress may stand still once its box is
-// marked silent. A box that was marked wrongly goes on sending and is let go on.
+// silentStallTimeout is how long a response in progress may make no progress after its box is
+// marked silent. A box that was marked in error keeps sending, and its response continues.
 const silentStallTimeout = 2 * time.Second
 
-// abortIfStalled breaks off an answer that stands still on a silent box, which
-// would otherwise keep its caller waiting for good.
+// abortIfStalled cancels the attempt if its box is marked silent and the response makes no
+// progress for silentStallTimeout. Without it, the caller could wait forever.
 func (f *forwarder) abortIfStalled(ctx context.Context, x *exchange, target *route.Target, cancel context.CancelCauseFunc) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-target.Silenced():
 	}
-	for seen := x.frames.Load(); ; seen = x.frames.Load() {
+	for previous := x.frames.Load(); ; previous = x.frames.Load() {
 		select {
 		case <-ctx.Done():
 			return
 		case <-f.clock.After(silentStallTimeout):
 		}
-		if x.frames.Load() == seen {
+		if x.frames.Load() == previous {
 			cancel(errSilent)
 			return
 		}
 	}
 }
 
-// errCallerBody reports that the caller's body could not be read to its end.
+// errCallerBody means that reading the caller's request body failed.
 var errCallerBody = errors.New("reading the caller's body")
 
 func sendBody(ctx context.Context, body *bodyReader, stream wire.DRPCBackend_ServeClient) error {
 	for index := 0; ; index++ {
-		piece, err := body.chunk(ctx, index)
+		data, err := body.chunk(ctx, index)
 		if err != nil {
 			return fmt.Errorf("%w: %w", errCallerBody, err)
 		}
-		if piece == nil {
+		if data == nil {
 			return stream.Send(&wire.ServeRequest{End: true})
 		}
-		if err := stream.Send(&wire.ServeRequest{Body: piece}); err != nil {
+		if err := stream.Send(&wire.ServeRequest{Body: data}); err != nil {
 			return err
 		}
 	}
 }
 
-// receive passes the answer on.
+// receive waits for the first response frame and forwards the response. If there is none, it
+// determines the outcome of the attempt with settle.
 func (f *forwarder) receive(ctx context.Context, x *exchange, target *route.Target, attempt route.AttemptID,
 	stream wire.DRPCBackend_ServeClient,
 ) (outcome, error) {
@@ -215,20 +216,20 @@
 	return f.streamResponse(ctx, x, target, stream, first)
 }
 
-// errSilent reports a box that fell silent before it answered.
+// errSilent means that the box was marked silent before its response was complete.
 var errSilent = errors.New("the box fell silent")
 
-// firstFrame waits for the first frame, at most until the deadline or until the
-// box is marked silent.
+// firstFrame waits for the first response frame. It fails when the deadline passes, the box is
+// marked silent or the context ends.
 func (f *forwarder) firstFrame(ctx context.Context, x *exchange, target *route.Target, stream wire.DRPCBackend_ServeClient) (*wire.ServeResponse, error) {
 	type received struct {
-		answer *wire.ServeResponse
-		err    error
+		response *wire.ServeResponse
+		err      error
 	}
 	arrived := make(chan received, 1)
 	go func() {
-		answer, err := stream.Recv()
-		arrived <- received{answer, err}
+		response, err := stream.Recv()
+		arrived <- received{response, err}
 	}()
 	var expired <-chan time.Time
 	if !x.deadline.IsZero() {
@@ -238,10 +239,10 @@
 	}
 	select {
 	case got := <-arrived:
-		if got.err == nil && got.answer.RequestId != string(x.id) {
+		if got.err == nil && got.response.RequestId != string(x.id) {
 			return nil, errResponseMismatch
 		}
-		return got.answer, got.err
+		return got.response, got.err
 	case <-expired:
 		return nil, context.DeadlineExceeded
 	case <-target.Silenced():
@@ -251,11 +252,11 @@
 	}
 }
 
-func (f *forwarder) refusalOutcome(target *route.Target, answer *wire.ServeResponse) (outcome, error) {
-	err := &refusedError{refusal: answer.Refusal, detail: answer.Detail}
-	switch answer.Refusal {
+func (f *forwarder) refusalOutcome(target *route.Target, response *wire.ServeResponse) (outcome, error) {
+	err := &refusedError{refusal: response.Refusal, detail: response.Detail}
+	switch response.Refusal {
 	case wire.Refusal_REFUSAL_DUPLICATE:
-		// The id ran before, so it cannot be said that it did not run.
+		// Another attempt with this id may have run, so the request may have been executed.
 		return outcomeUnknown, err
 	case wire.Refusal_REFUSAL_UNREACHABLE:
 		target.Failed(f.clock.Now())
@@ -263,19 +264,19 @@
 	return outcomeNotExecuted, err
 }
 
-func (f *forwarder) recordLoad(target *route.Target, answer *wire.ServeResponse) {
-	if answer.Load != nil {
-		target.ReportLoad(int(answer.Load.Running+answer.Load.Waiting), f.clock.Now())
+func (f *forwarder) recordLoad(target *route.Target, response *wire.ServeResponse) {
+	if response.Load != nil {
+		target.ReportLoad(int(response.Load.Running+response.Load.Waiting), f.clock.Now())
 	}
 }
 
-// streamResponse writes the head and the body to the caller as they come.
+// streamResponse writes the response head and then each body frame to the caller as it arrives.
 func (f *forwarder) streamResponse(ctx context.Context, x *exchange, target *route.Target,
 	stream wire.DRPCBackend_ServeClient, first *wire.ServeResponse,
 ) (outcome, error) {
 	header := x.writer.Header()
-	for _, line := range first.Head.Headers {
-		header[line.Name] = line.Values
+	for _, h := range first.Head.Headers {
+		header[h.Name] = h.Values
 	}
 	header.Set(headerBox, string(target.Box))
 	if x.version != "" {
@@ -284,21 +285,21 @@
 	x.writer.WriteHeader(int(first.Head.Status))
 	f.metrics.ttfbSeconds.WithLabelValues(string(x.service)).Observe(f.clock.Since(x.arrived).Seconds())
 	controller := http.NewResponseController(x.writer)
-	for answer := first; ; {
+	for frame := first; ; {
 		x.frames.Add(1)
-		if len(answer.Body) > 0 {
-			if _, err := x.writer.Write(answer.Body); err != nil {
+		if len(frame.Body) > 0 {
+			if _, err := x.writer.Write(frame.Body); err != nil {
 				return outcomeCallerGone, err
 			}
-			if !answer.End {
+			if !frame.End {
 				_ = controller.Flush()
 			}
 		}
-		f.recordLoad(target, answer)
-		if answer.Failed {
-			return outcomeTruncated, fmt.Errorf("backend server broke off: %s", answer.Detail)
+		f.recordLoad(target, frame)
+		if frame.Failed {
+			return outcomeTruncated, fmt.Errorf("backend server truncated the response: %s", frame.Detail)
 		}
-		if answer.End {
+		if frame.End {
 			_ = stream.Close()
 			return outcomeDone, nil
 		}
@@ -312,7 +313,7 @@
 		case next.RequestId != string(x.id):
 			return outcomeTruncated, errResponseMismatch
 		}
-		answer = next
+		frame = next
 	}
 }
 
@@ -323,8 +324,9 @@
 	return err
 }
 
-// settle asks the agent for the truth about an attempt that gave no answer. If
-// the agent has not started it, it promises never to.
+// settle determines the outcome of an attempt that failed without a response. It asks the agent
+// whether the attempt has started, unless the caller is gone or no connection was opened. An agent
+// that has not started the attempt will then never start it.
 func (f *forwarder) settle(ctx context.Context, x *exchange, target *route.Target, attempt route.AttemptID, cause error) (outcome, error) {
 	if x.request.Context().Err() != nil {
 		return outcomeCallerGone, cause
@@ -334,10 +336,10 @@
 	}
 	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
-	answer, err := wire.NewDRPCBackendClient(f.peers.Conn(target.Address)).Settle(callCtx, &wire.SettleRequest{
+	response, err := wire.NewDRPCBackendClient(f.peers.Conn(target.Address)).Settle(callCtx, &wire.SettleRequest{
 		RequestId: string(x.id), Attempt: string(attempt), Incarnation: uint64(target.Incarnation),
 	})
-	if err == nil && answer.Known && !answer.Started {
+	if err == nil && response.Known && !response.Started {
 		return outcomeNotExecuted, cause
 	}
 	return outcomeUnknown, cause
--- a/internal/daemon/headers.go
+++ b/internal/daemon/headers.go
@@ -10,7 +10,7 @@
 	"github.com/cinderslip/cinderslip/internal/wire"
 )
 
-// The headers of the callers' interface.
+// Headers of the HTTP API for callers.
 const (
 	headerGroup      = "Cinderslip-Group"
 	headerRequestID  = "Cinderslip-Request-Id"
@@ -22,30 +22,30 @@
 	headerOutcome    = "Cinderslip-Outcome"
 )
 
-// headersToWire copies what is passed on. The values of Connection name further
-// headers that are not.
+// headersToWire converts HTTP headers to their wire form. It omits hop-by-hop headers, which
+// include those listed in connection, the values of the Connection header.
 func headersToWire(header http.Header, connection []string) []*wire.Header {
-	var named []string
+	var hopByHop []string
 	for _, value := range connection {
 		for name := range strings.SplitSeq(value, ",") {
-			named = append(named, textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)))
+			hopByHop = append(hopByHop, textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)))
 		}
 	}
-	lines := make([]*wire.Header, 0, len(header))
+	headers := make([]*wire.Header, 0, len(header))
 	for name, values := range header {
-		if slices.Contains(upstream.HopByHopHeaders, name) || slices.Contains(named, name) {
+		if slices.Contains(upstream.HopByHopHeaders, name) || slices.Contains(hopByHop, name) {
 			continue
 		}
-		lines = append(lines, &wire.Header{Name: name, Values: values})
+		headers = append(headers, &wire.Header{Name: name, Values: values})
 	}
-	return lines
+	return headers
 }
 
-// headersFromWire is the inverse.
-func headersFromWire(lines []*wire.Header) http.Header {
-	header := make(http.Header, len(lines))
-	for _, line := range lines {
-		header[line.Name] = line.Values
+// headersFromWire converts headers from their wire form.
+func headersFromWire(headers []*wire.Header) http.Header {
+	header := make(http.Header, len(headers))
+	for _, h := range headers {
+		header[h.Name] = h.Values
 	}
 	return header
 }
--- a/internal/daemon/loader.go
+++ b/internal/daemon/loader.go
@@ -20,10 +20,10 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// loadRetryDelay is the wait after a step of a copy that failed.
+// loadRetryDelay is the delay before a failed download, load or unload is retried.
 const loadRetryDelay = 500 * time.Millisecond
 
-// LoaderOptions are the parts that a Copier works with.
+// LoaderOptions configures a Loader.
 type LoaderOptions struct {
 	Self        member.BoxID
 	Peers       *PeerPool
@@ -38,9 +38,9 @@
 	Picker      weights.PickerOptions
 }
 
-// Loader brings the box in line with its assignment: it fetches and verifies
-// what is missing, gives the engine its fenced orders, opens the gate for what
-// is live, and drains and unloads what is no longer wanted.
+// Loader makes the versions of the box's assignment live. It downloads and verifies missing
+// chunks, sends the engine orders with fencing tokens, and enables live versions in the backend
+// proxy. It drains and unloads versions that are no longer assigned.
 type Loader struct {
 	options     LoaderOptions
 	tasks       *kernel.TaskGroup
@@ -49,17 +49,18 @@
 	mu                sync.Mutex
 	assignmentVersion state.Version
 	jobs              map[weights.Digest]*versionJob
-	// unloading holds the manifests on their way out. One that is wanted again
-	// waits for it, so that a late unload never takes away what is live.
+	// unloading has a channel for each manifest that is being unloaded, closed when that is
+	// done. A version that is assigned again waits for it, so that a late unload order
+	// never removes a live version.
 	unloading map[weights.Digest]chan struct{}
 }
 
-// versionJob is one version on its way to live and out again.
+// versionJob downloads one assigned version, makes it live and keeps it loaded.
 type versionJob struct {
 	pinned plan.PinnedVersion
 	cancel context.CancelFunc
 	done   chan struct{}
-	// fencingToken is the newest plan that wants the version.
+	// fencingToken is the token of the newest assignment that contains the version.
 	fencingToken provider.FencingToken
 
 	mu                 sync.Mutex
@@ -72,9 +73,9 @@
 	swarmUpdated       chan struct{}
 }
 
-// NewLoader starts to follow assignments.
+// NewLoader starts a Loader, which applies the assignments passed to HandleResponse.
 func NewLoader(options LoaderOptions) *Loader {
-	c := &Loader{
+	l := &Loader{
 		options:     options,
 		tasks:       kernel.NewTaskGroup(),
 		assignments: make(chan versionedAssignment, 1),
@@ -82,23 +83,24 @@
 
 		unloading: make(map[weights.Digest]chan struct{}),
 	}
-	c.tasks.Go(c.run)
-	return c
+	l.tasks.Go(l.run)
+	return l
 }
 
-// String returns the service's name.
-func (c *Loader) String() string { return "copier" }
+// String returns the name of the service for logs.
+func (l *Loader) String() string { return "copier" }
 
-// Stop ends all copies. What is live stays live.
-func (c *Loader) Stop(ctx context.Context) error { return c.tasks.Stop(ctx) }
+// Stop cancels all downloads. Live versions stay live.
+func (l *Loader) Stop(ctx context.Context) error { return l.tasks.Stop(ctx) }
 
-// FillHeartbeat adds what is in force and what is being fetched to a heartbeat.
-func (c *Loader) FillHeartbeat(request *wire.HeartbeatRequest) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	request.AssignmentMajor, request.AssignmentMinor = c.assignmentVersion.Major, c.assignmentVersion.Minor
-	request.Load = c.options.Proxy.load()
-	for digest, job := range c.jobs {
+// FillHeartbeat adds the assignment version, the load and the manifests being fetched to a
+// heartbeat.
+func (l *Loader) FillHeartbeat(request *wire.HeartbeatRequest) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	request.AssignmentMajor, request.AssignmentMinor = l.assignmentVersion.Major, l.assignmentVersion.Minor
+	request.Load = l.options.Proxy.load()
+	for digest, job := range l.jobs {
 		job.mu.Lock()
 		if job.fetching {
 			request.Wanted = append(request.Wanted, &wire.Wanted{Manifest: digest[:], DrawersHash: job.originFetchersHash})
@@ -107,192 +109,191 @@
 	}
 }
 
-// HandleResponse takes the assignment and the neighbours from a monitor's answer.
-func (c *Loader) HandleResponse(answer *wire.HeartbeatResponse) {
-	c.updateSwarms(answer.Swarms)
-	if len(answer.Assignment) == 0 {
+// HandleResponse applies the assignment and the swarms in a monitor's heartbeat response.
+func (l *Loader) HandleResponse(response *wire.HeartbeatResponse) {
+	l.updateSwarms(response.Swarms)
+	if len(response.Assignment) == 0 {
 		return
 	}
-	next := versionedAssignment{version: state.Version{Major: answer.AssignmentMajor, Minor: answer.AssignmentMinor}}
-	if err := state.Decode(answer.Assignment, &next.Assignment); err != nil {
-		c.options.Log.Error().Err(err).Msg("assignment cannot be read")
+	next := versionedAssignment{version: state.Version{Major: response.AssignmentMajor, Minor: response.AssignmentMinor}}
+	if err := state.Decode(response.Assignment, &next.Assignment); err != nil {
+		l.options.Log.Error().Err(err).Msg("decoding the assignment failed; keeping the previous one")
 		return
 	}
-	c.mu.Lock()
-	newer := next.version.Compare(c.assignmentVersion) > 0
+	l.mu.Lock()
+	newer := next.version.Compare(l.assignmentVersion) > 0
 	if newer {
-		c.assignmentVersion = next.version
+		l.assignmentVersion = next.version
 	}
-	c.mu.Unlock()
+	l.mu.Unlock()
 	if !newer {
 		return
 	}
-	// Only the newest assignment counts; one that nobody took yet is replaced.
+	// Only the newest assignment counts. Replace one that is still waiting in the channel.
 	select {
-	case <-c.assignments:
+	case <-l.assignments:
 	default:
 	}
 	select {
-	case c.assignments <- next:
+	case l.assignments <- next:
 	default:
 	}
 }
 
-// run carries out one assignment after the other.
-func (c *Loader) run(ctx context.Context) {
+// run applies assignments in turn until the context ends.
+func (l *Loader) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case next := <-c.assignments:
-			c.applyAssignment(ctx, next)
+		case next := <-l.assignments:
+			l.applyAssignment(ctx, next)
 		}
 	}
 }
 
-func (c *Loader) applyAssignment(ctx context.Context, next versionedAssignment) {
-	fence := provider.FencingToken{Epoch: next.version.Major, Sequence: next.version.Minor}
-	wanted := make(map[weights.Digest]bool)
-	for _, w := range next.Versions {
-		wanted[w.Manifest] = true
-		c.ensureJob(ctx, w, fence)
+func (l *Loader) applyAssignment(ctx context.Context, next versionedAssignment) {
+	token := provider.FencingToken{Epoch: next.version.Major, Sequence: next.version.Minor}
+	assigned := make(map[weights.Digest]bool)
+	for _, v := range next.Versions {
+		assigned[v.Manifest] = true
+		l.ensureJob(ctx, v, token)
 	}
-	c.mu.Lock()
+	l.mu.Lock()
 	var dropped []*versionJob
-	for digest, job := range c.jobs {
-		if !wanted[digest] {
+	for digest, job := range l.jobs {
+		if !assigned[digest] {
 			dropped = append(dropped, job)
-			delete(c.jobs, digest)
-			c.unloading[digest] = make(chan struct{})
+			delete(l.jobs, digest)
+			l.unloading[digest] = make(chan struct{})
 		}
 	}
-	c.mu.Unlock()
+	l.mu.Unlock()
 	for _, job := range dropped {
-		c.tasks.Go(func(ctx context.Context) {
-			c.unload(ctx, job, fence)
-			c.finishUnload(job.pinned.Manifest)
+		l.tasks.Go(func(ctx context.Context) {
+			l.unload(ctx, job, token)
+			l.finishUnload(job.pinned.Manifest)
 		})
 	}
-	c.options.Log.Info().Uint64("epoch", fence.Epoch).Uint64("sequence", fence.Sequence).
-		Int("wanted", len(wanted)).Int("dropped", len(dropped)).Msg("assignment taken")
+	l.options.Log.Info().Uint64("epoch", token.Epoch).Uint64("sequence", token.Sequence).
+		Int("wanted", len(assigned)).Int("dropped", len(dropped)).Msg("applying a new assignment")
 }
 
-// finishUnload lets a copy of the same manifest begin.
-func (c *Loader) finishUnload(manifest weights.Digest) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	close(c.unloading[manifest])
-	delete(c.unloading, manifest)
+// finishUnload marks a manifest as unloaded, so that a waiting job for it can start.
+func (l *Loader) finishUnload(manifest weights.Digest) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	close(l.unloading[manifest])
+	delete(l.unloading, manifest)
 }
 
-func (c *Loader) ensureJob(ctx context.Context, w plan.PinnedVersion, fence provider.FencingToken) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if job, running := c.jobs[w.Manifest]; running {
+func (l *Loader) ensureJob(ctx context.Context, v plan.PinnedVersion, token provider.FencingToken) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if job, running := l.jobs[v.Manifest]; running {
 		job.mu.Lock()
-		job.fencingToken = fence
+		job.fencingToken = token
 		job.mu.Unlock()
 		return
 	}
 	jobCtx, cancel := context.WithCancel(ctx)
 	job := &versionJob{
-		pinned: w, cancel: cancel, fencingToken: fence,
+		pinned: v, cancel: cancel, fencingToken: token,
 		done: make(chan struct{}), swarmUpdated: make(chan struct{}, 1),
 		addresses: make(map[string]member.Address),
 	}
-	c.jobs[w.Manifest] = job
-	dropping := c.unloading[w.Manifest]
-	c.tasks.Go(func(context.Context) {
+	l.jobs[v.Manifest] = job
+	unloaded := l.unloading[v.Manifest]
+	l.tasks.Go(func(context.Context) {
 		defer close(job.done)
-		if dropping != nil {
+		if unloaded != nil {
 			select {
-			case <-dropping:
+			case <-unloaded:
 			case <-jobCtx.Done():
 				return
 			}
 		}
-		c.runJob(jobCtx, job)
+		l.runJob(jobCtx, job)
 	})
 }
 
-// runJob takes a version through its phases and watches it while it is live,
-// until it is not wanted.
-func (c *Loader) runJob(ctx context.Context, job *versionJob) {
-	log := c.options.Log.With().Str("model", string(job.pinned.Model)).Str("version", string(job.pinned.Version)).Logger()
+// runJob makes a version live, and again when the engine loses it, until the context ends.
+// It retries failures after loadRetryDelay.
+func (l *Loader) runJob(ctx context.Context, job *versionJob) {
+	log := l.options.Log.With().Str("model", string(job.pinned.Model)).Str("version", string(job.pinned.Version)).Logger()
 	for ctx.Err() == nil {
-		started := c.options.Clock.Now()
-		err := c.makeLive(ctx, job)
+		started := l.options.Clock.Now()
+		err := l.makeLive(ctx, job)
 		if err == nil {
-			taken := c.options.Clock.Since(started)
-			c.options.Metrics.copySeconds.Observe(taken.Seconds())
-			log.Info().Dur("taken_ms", taken).Msg("version is live")
-			c.watchLoaded(ctx, job)
+			elapsed := l.options.Clock.Since(started)
+			l.options.Metrics.copySeconds.Observe(elapsed.Seconds())
+			log.Info().Dur("taken_ms", elapsed).Msg("version is live")
+			l.watchLoaded(ctx, job)
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		log.Warn().Err(err).Msg("copy is held up")
-		c.setCopy(job, member.PhaseFetching, 0, err.Error())
-		c.sleep(ctx, loadRetryDelay)
+		log.Warn().Err(err).Msg("making the version live failed; retrying")
+		l.setCopy(job, member.PhaseFetching, 0, err.Error())
+		l.sleep(ctx, loadRetryDelay)
 	}
 }
 
-func (c *Loader) sleep(ctx context.Context, wait time.Duration) {
+func (l *Loader) sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-c.options.Clock.After(wait):
+	case <-l.options.Clock.After(wait):
 	}
 }
 
-// loadedCheckInterval is how often the engine is asked whether a live version is
-// still loaded.
+// loadedCheckInterval is how often the loader checks that a live version is still loaded.
 const loadedCheckInterval = 2 * time.Second
 
-// watchLoaded returns when the engine no longer has the version, as after a
-// restart of its own. An engine that does not answer may be busy; its requests
-// tell what it is worth.
-func (c *Loader) watchLoaded(ctx context.Context, job *versionJob) {
+// watchLoaded disables the version and returns when the engine no longer has it, for example
+// after an engine restart. An engine that does not respond may only be busy, so an error changes
+// nothing here; requests that fail at the engine show whether it works.
+func (l *Loader) watchLoaded(ctx context.Context, job *versionJob) {
 	for ctx.Err() == nil {
-		c.sleep(ctx, loadedCheckInterval)
-		loaded, err := c.isLoaded(ctx, job)
+		l.sleep(ctx, loadedCheckInterval)
+		loaded, err := l.isLoaded(ctx, job)
 		if ctx.Err() != nil || err != nil || loaded {
 			continue
 		}
-		c.options.Log.Warn().Str("model", string(job.pinned.Model)).Str("version", string(job.pinned.Version)).
-			Msg("engine lost the version")
-		c.options.Proxy.Disable(c.serviceVersion(job))
+		l.options.Log.Warn().Str("model", string(job.pinned.Model)).Str("version", string(job.pinned.Version)).
+			Msg("engine no longer has the version loaded; loading it again")
+		l.options.Proxy.Disable(l.serviceVersion(job))
 		return
 	}
 }
 
-func (c *Loader) makeLive(ctx context.Context, job *versionJob) error {
-	if loaded, err := c.isLoaded(ctx, job); err != nil || loaded {
+func (l *Loader) makeLive(ctx context.Context, job *versionJob) error {
+	if loaded, err := l.isLoaded(ctx, job); err != nil || loaded {
 		if err == nil {
-			c.setLive(job)
+			l.setLive(job)
 		}
 		return err
 	}
 	job.setFetching(true)
 	defer job.setFetching(false)
-	c.setCopy(job, member.PhaseFetching, 0, "")
-	manifest, err := c.fetchManifest(ctx, job)
+	l.setCopy(job, member.PhaseFetching, 0, "")
+	manifest, err := l.fetchManifest(ctx, job)
 	if err != nil {
 		return err
 	}
-	c.options.Store.Add(manifest)
-	if err := newChunkFetcher(c, job, manifest).run(ctx); err != nil {
+	l.options.Store.Add(manifest)
+	if err := newChunkFetcher(l, job, manifest).run(ctx); err != nil {
 		return err
 	}
-	c.setCopy(job, member.PhaseVerifying, len(manifest.Chunks), "")
-	if err := c.options.Store.Verify(manifest); err != nil {
+	l.setCopy(job, member.PhaseVerifying, len(manifest.Chunks), "")
+	if err := l.options.Store.Verify(manifest); err != nil {
 		return err
 	}
-	c.setCopy(job, member.PhaseLoading, len(manifest.Chunks), "")
-	if err := c.load(ctx, job, manifest); err != nil {
+	l.setCopy(job, member.PhaseLoading, len(manifest.Chunks), "")
+	if err := l.load(ctx, job, manifest); err != nil {
 		return err
 	}
-	c.setLive(job)
+	l.setLive(job)
 	return nil
 }
 
@@ -308,91 +309,93 @@
 	return j.fencingToken
 }
 
-// isLoaded finds a version that the engine kept while this process was away.
-func (c *Loader) isLoaded(ctx context.Context, job *versionJob) (bool, error) {
-	current, err := c.options.Engine.State(ctx)
+// isLoaded reports whether the engine has the version loaded, possibly since before this process
+// started.
+func (l *Loader) isLoaded(ctx context.Context, job *versionJob) (bool, error) {
+	current, err := l.options.Engine.State(ctx)
 	if err != nil {
 		return false, err
 	}
-	return slices.ContainsFunc(current.Loaded, func(l provider.LoadedVersion) bool {
-		return l.Model == job.pinned.Model && l.Version == job.pinned.Version && l.Manifest == job.pinned.Manifest
+	return slices.ContainsFunc(current.Loaded, func(v provider.LoadedVersion) bool {
+		return v.Model == job.pinned.Model && v.Version == job.pinned.Version && v.Manifest == job.pinned.Manifest
 	}), nil
 }
 
-// load hands the verified chunks over and gives the fenced order.
-func (c *Loader) load(ctx context.Context, job *versionJob, manifest *weights.Manifest) error {
+// load stages the verified chunks at the engine and orders it to load them.
+func (l *Loader) load(ctx context.Context, job *versionJob, manifest *weights.Manifest) error {
 	for i := range manifest.Chunks {
-		data, err := c.options.Store.Get(manifest.Digest(), i)
+		data, err := l.options.Store.Get(manifest.Digest(), i)
 		if err != nil {
 			return err
 		}
-		if err := c.options.Engine.Stage(ctx, manifest.Digest(), i, data); err != nil {
+		if err := l.options.Engine.Stage(ctx, manifest.Digest(), i, data); err != nil {
 			return err
 		}
 	}
-	return c.options.Engine.Order(ctx, provider.Order{
+	return l.options.Engine.Order(ctx, provider.Order{
 		Kind: provider.OrderLoad, Model: job.pinned.Model, Version: job.pinned.Version, Manifest: manifest.Digest(),
 		Chunks: len(manifest.Chunks), WholeDigest: manifest.WholeDigest, Fence: job.currentFencingToken(),
 	})
 }
 
-func (c *Loader) serviceVersion(job *versionJob) route.ServiceVersion {
+func (l *Loader) serviceVersion(job *versionJob) route.ServiceVersion {
 	return route.ServiceVersion{Service: member.Service(job.pinned.Model), Version: job.pinned.Version}
 }
 
-func (c *Loader) setLive(job *versionJob) {
-	c.options.Proxy.Enable(c.serviceVersion(job))
-	c.setCopy(job, member.PhaseLive, 0, "")
+func (l *Loader) setLive(job *versionJob) {
+	l.options.Proxy.Enable(l.serviceVersion(job))
+	l.setCopy(job, member.PhaseLive, 0, "")
 }
 
-// unload takes a version out: no new requests, those in progress end, then the
-// engine unloads it.
-func (c *Loader) unload(ctx context.Context, job *versionJob, fence provider.FencingToken) {
+// unload stops the job of a version, drains its requests and orders the engine to unload it.
+// Finally it drops the chunks from the memory store.
+func (l *Loader) unload(ctx context.Context, job *versionJob, token provider.FencingToken) {
 	job.cancel()
 	<-job.done
-	c.removeCopy(job)
-	if !c.options.Proxy.Drain(ctx, c.serviceVersion(job)) {
+	l.removeCopy(job)
+	if !l.options.Proxy.Drain(ctx, l.serviceVersion(job)) {
 		return
 	}
 	for ctx.Err() == nil {
-		err := c.options.Engine.Order(ctx, provider.Order{
+		err := l.options.Engine.Order(ctx, provider.Order{
 			Kind: provider.OrderUnload, Model: job.pinned.Model, Version: job.pinned.Version,
-			Manifest: job.pinned.Manifest, Fence: fence,
+			Manifest: job.pinned.Manifest, Fence: token,
 		})
 		if err == nil || errors.Is(err, provider.ErrFenced) {
 			break
 		}
-		c.options.Log.Warn().Err(err).Msg("unload is held up")
-		c.sleep(ctx, loadRetryDelay)
+		l.options.Log.Warn().Err(err).Msg("unloading the version failed; retrying")
+		l.sleep(ctx, loadRetryDelay)
 	}
-	c.options.Store.Drop(job.pinned.Manifest)
-	c.options.Log.Info().Str("model", string(job.pinned.Model)).Str("version", string(job.pinned.Version)).Msg("version dropped")
+	l.options.Store.Drop(job.pinned.Manifest)
+	l.options.Log.Info().Str("model", string(job.pinned.Model)).Str("version", string(job.pinned.Version)).Msg("version dropped")
 }
 
-// setCopy puts the state of a copy into the box's record. Progress within a
-// phase is told in quarters, because each change travels to every entry box.
-func (c *Loader) setCopy(job *versionJob, phase member.Phase, chunks int, waits string) {
+// setCopy sets the state of a version in the box's record. Progress within a phase is reported
+// in quarters (progressSteps), because each change is sent to every entry box.
+func (l *Loader) setCopy(job *versionJob, phase member.Phase, chunks int, waitReason string) {
 	total := 0
-	if manifest, ok := c.options.Store.Manifest(job.pinned.Manifest); ok {
+	if manifest, ok := l.options.Store.Manifest(job.pinned.Manifest); ok {
 		total = len(manifest.Chunks)
 	}
 	next := member.Copy{
 		Model: job.pinned.Model, Version: job.pinned.Version, Manifest: job.pinned.Manifest,
-		Phase: phase, HeldChunks: chunks, TotalChunks: total, WaitReason: waits,
+		Phase: phase, HeldChunks: chunks, TotalChunks: total, WaitReason: waitReason,
 	}
-	if slices.Contains(c.options.Heartbeater.Record().Copies, next) {
+	if slices.Contains(l.options.Heartbeater.Record().Copies, next) {
 		return
 	}
-	c.options.Heartbeater.Update(func(record *member.Record) {
+	l.options.Heartbeater.Update(func(record *member.Record) {
 		record.Copies = append(copiesWithout(record.Copies, job), next)
 	})
 }
 
-func (c *Loader) removeCopy(job *versionJob) {
-	c.options.Heartbeater.Update(func(record *member.Record) { record.Copies = copiesWithout(record.Copies, job) })
+func (l *Loader) removeCopy(job *versionJob) {
+	l.options.Heartbeater.Update(func(record *member.Record) { record.Copies = copiesWithout(record.Copies, job) })
 }
 
-// copiesWithout leaves the given copies as they are: earlier records share them.
+// copiesWithout returns the copies without the version of job. It does not modify the given
+// slice, because earlier records share it.
 func copiesWithout(copies []member.Copy, job *versionJob) []member.Copy {
-	return slices.DeleteFunc(slices.Clone(copies), func(held member.Copy) bool { return held.Manifest == job.pinned.Manifest })
+	return slices.DeleteFunc(slices.Clone(copies), func(existing member.Copy) bool { return existing.Manifest == job.pinned.Manifest })
 }
--- a/internal/daemon/loader_test.go
+++ b/internal/daemon/loader_test.go
@@ -25,8 +25,8 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// loaderFixture is an agent's copier with an engine, a source and peers that a test
-// can break.
+// loaderFixture is an agent's loader with an engine, a weight source and peers in which a test can
+// inject faults.
 type loaderFixture struct {
 	platform    *testPlatform
 	engine      *standin.Engine
@@ -65,7 +65,7 @@
 	return f
 }
 
-// assign tells the copier to carry a manifest, or nothing for the zero digest.
+// assign sends the loader an assignment with one manifest, or an empty one for the zero digest.
 func (f *loaderFixture) assign(sequence uint64, manifest weights.Digest) {
 	next := versionedAssignment{version: state.Version{Major: 1, Minor: sequence}}
 	if !manifest.IsZero() {
@@ -74,12 +74,13 @@
 	f.loader.assignments <- next
 }
 
-// setSwarm tells the copier its neighbours, as a monitor would, until the test ends.
-func (f *loaderFixture) setSwarm(t *testing.T, neighbours map[string]member.Address, drawers ...string) {
+// setSwarm waits until the loader has a job and then sets its neighbours and origin fetchers, as
+// a monitor's heartbeat response does.
+func (f *loaderFixture) setSwarm(t *testing.T, neighbours map[string]member.Address, originFetchers ...string) {
 	t.Helper()
 	digest := f.manifest.Digest()
 	swarm := &wire.Swarm{Manifest: digest[:], DrawersHash: 1}
-	for _, box := range drawers {
+	for _, box := range originFetchers {
 		swarm.Drawers = append(swarm.Drawers, &wire.SwarmPeer{Box: box})
 	}
 	for box, address := range neighbours {
@@ -90,7 +91,7 @@
 		f.loader.mu.Lock()
 		defer f.loader.mu.Unlock()
 		return len(f.loader.jobs) > 0
-	}, "the copy starts")
+	}, "the job starts")
 	f.loader.updateSwarms([]*wire.Swarm{swarm})
 }
 
@@ -100,7 +101,7 @@
 	return testutil.ToFloat64(f.metrics.chunkFaults.WithLabelValues(from, fault))
 }
 
-// fakePeer is an agent that holds everything and gives what change makes of it.
+// fakePeer is an agent that holds all chunks and sends the result of transform for each one.
 type fakePeer struct {
 	manifest  *weights.Manifest
 	content   []byte
@@ -125,10 +126,10 @@
 	return stream.Send(&wire.FetchResponse{Data: p.transform(stream.Context(), int(request.Chunk), data)})
 }
 
-func (f *loaderFixture) startPeer(t *testing.T, change func(ctx context.Context, chunk int, data []byte) []byte) member.Address {
+func (f *loaderFixture) startPeer(t *testing.T, transform func(ctx context.Context, chunk int, data []byte) []byte) member.Address {
 	t.Helper()
 	mux := drpcmux.New()
-	require.NoError(t, wire.DRPCRegisterChunks(mux, &fakePeer{f.manifest, f.content, change}))
+	require.NoError(t, wire.DRPCRegisterChunks(mux, &fakePeer{f.manifest, f.content, transform}))
 	return listenPeers(t, mux)
 }
 
@@ -160,16 +161,17 @@
 func TestCorruptChunksAreFetchedFromAnotherPeer(t *testing.T) {
 	f := newLoaderFixture(t, 1<<20)
 	f.assign(1, f.manifest.Digest())
-	// The good peer gives nothing before the bad one has: the copy could be whole without it.
-	asked := make(chan struct{})
+	// The good peer sends nothing until the bad one is called. Otherwise the download could
+	// complete without the bad peer.
+	badCalled := make(chan struct{})
 	var once sync.Once
 	bad := func(ctx context.Context, chunk int, data []byte) []byte {
-		once.Do(func() { close(asked) })
+		once.Do(func() { close(badCalled) })
 		return corrupt(ctx, chunk, data)
 	}
 	afterBad := func(ctx context.Context, _ int, data []byte) []byte {
 		select {
-		case <-asked:
+		case <-badCalled:
 		case <-ctx.Done():
 		}
 		return data
@@ -204,7 +206,7 @@
 	eventually(t, func() bool {
 		copies := f.heartbeater.Record().Copies
 		return len(copies) == 1 && copies[0].WaitReason != ""
-	}, "the record says why the copy waits")
+	}, "the record has a wait reason")
 	f.platform.registry.SetFault(nil)
 	eventually(t, f.isLive, "the version is live")
 }
@@ -213,9 +215,9 @@
 	f := newLoaderFixture(t, 1<<20)
 	var mu sync.Mutex
 	broken := 0
-	honest := f.loader.options.Sources[0]
+	original := f.loader.options.Sources[0]
 	f.loader.options.Sources[0].Range = func(ctx context.Context, model table.Model, blob string, offset, size int64) ([]byte, error) {
-		data, err := honest.Range(ctx, model, blob, offset, size)
+		data, err := original.Range(ctx, model, blob, offset, size)
 		mu.Lock()
 		defer mu.Unlock()
 		if err == nil && broken < 5 {
@@ -238,10 +240,10 @@
 		f.loader.mu.Lock()
 		defer f.loader.mu.Unlock()
 		return len(f.loader.jobs) == 1
-	}, "the copy starts")
+	}, "the job starts")
 	pin := weights.Sum([]byte("another manifest"))
 	f.loader.updateSwarms([]*wire.Swarm{{Manifest: pin[:], DrawersHash: 1, Drawers: []*wire.SwarmPeer{{Box: "self"}}}})
-	eventually(t, func() bool { return f.faults("source", "manifest") > 0 }, "the manifest is refused")
+	eventually(t, func() bool { return f.faults("source", "manifest") > 0 }, "the manifest is rejected")
 	require.Empty(t, f.engine.Orders())
 }
 
@@ -250,9 +252,9 @@
 	f.platform.registry.SetRate(2 * testChunkSize)
 	f.assign(1, f.manifest.Digest())
 	f.setSwarm(t, nil, "self")
-	eventually(t, func() bool { return f.store.Used() > 0 }, "the copy is in flight")
+	eventually(t, func() bool { return f.store.Used() > 0 }, "the download is in progress")
 	f.assign(2, weights.Digest{})
-	eventually(t, func() bool { return f.store.Used() == 0 && len(f.heartbeater.Record().Copies) == 0 }, "nothing of it is left")
+	eventually(t, func() bool { return f.store.Used() == 0 && len(f.heartbeater.Record().Copies) == 0 }, "the chunks and the record entry are removed")
 	for _, order := range f.engine.Orders() {
 		require.NotEqual(t, provider.OrderLoad, order.Kind)
 	}
@@ -265,7 +267,7 @@
 	eventually(t, func() bool {
 		copies := f.heartbeater.Record().Copies
 		return len(copies) == 1 && copies[0].WaitReason != ""
-	}, "the record says why")
+	}, "the record has a wait reason")
 	require.Empty(t, f.engine.Orders())
 	require.LessOrEqual(t, f.store.Used(), int64(3*testChunkSize))
 }
@@ -276,11 +278,11 @@
 	f.setSwarm(t, nil, "self")
 	eventually(t, f.isLive, "the version is live")
 	f.engine.Reset()
-	place := route.ServiceVersion{Service: "kakiwake", Version: "v1"}
+	version := route.ServiceVersion{Service: "kakiwake", Version: "v1"}
 	eventually(t, func() bool {
 		f.proxy.mu.Lock()
 		defer f.proxy.mu.Unlock()
-		return len(f.engine.Orders()) == 2 && f.proxy.versions[place].accepting
+		return len(f.engine.Orders()) == 2 && f.proxy.versions[version].accepting
 	}, "the version is loaded again")
 }
 
@@ -296,8 +298,8 @@
 	}
 }
 
-// A version is dropped while a request still runs on it, and wanted again before
-// that has ended: the late unload must not take away what is live again.
+// A version is unassigned while a request still runs on it, and assigned again before that request
+// has ended. The late unload order must not remove the version after it is live again.
 func TestVersionReassignedWhileDrainingStaysLive(t *testing.T) {
 	f := newLoaderFixture(t, 1<<20)
 	f.assign(1, f.manifest.Digest())
@@ -306,20 +308,20 @@
 	head := &wire.RequestHead{
 		RequestId: "r", Attempt: "r/1", Service: "kakiwake", Version: "v1", Incarnation: uint64(f.heartbeater.Record().Incarnation),
 	}
-	leave, refusal, _ := f.proxy.admit(head)
+	release, refusal, _ := f.proxy.admit(head)
 	require.Equal(t, wire.Refusal_REFUSAL_NONE, refusal)
 	f.assign(2, weights.Digest{})
 	eventually(t, func() bool { return len(f.heartbeater.Record().Copies) == 0 }, "the version drains")
 	f.assign(3, f.manifest.Digest())
 	f.setSwarm(t, nil, "self")
 	time.Sleep(100 * time.Millisecond)
-	require.False(t, f.isLive(), "it is still on its way out")
-	leave()
+	require.False(t, f.isLive(), "the version is still draining")
+	release()
 	eventually(t, func() bool {
 		f.setSwarm(t, nil, "self")
 		orders := f.engine.Orders()
 		return f.isLive() && len(orders) == 3 && orders[2].Kind == provider.OrderLoad
-	}, "it is unloaded, then loaded and live")
+	}, "the version is unloaded, loaded again and live")
 	current, err := f.loader.options.Engine.State(t.Context())
 	require.NoError(t, err)
 	require.Len(t, current.Loaded, 1)
--- a/internal/daemon/problem.go
+++ b/internal/daemon/problem.go
@@ -24,7 +24,8 @@
 
 const problemType = "application/problem+json"
 
-// writeProblem answers with a problem document.
+// writeProblem responds with a problem document. The type defaults to about:blank and the title
+// to the text of the status code.
 func writeProblem(w http.ResponseWriter, problem Problem) {
 	if problem.Type == "" {
 		problem.Type = "about:blank"
@@ -37,7 +38,7 @@
 	_ = json.NewEncoder(w).Encode(problem)
 }
 
-// setRetryAfter writes the header in whole seconds, rounded up.
+// setRetryAfter sets the Retry-After header to wait in whole seconds, rounded up, at least 1.
 func setRetryAfter(w http.ResponseWriter, wait time.Duration) {
 	seconds := int64((wait + time.Second - 1) / time.Second)
 	w.Header().Set("Retry-After", strconv.FormatInt(max(1, seconds), 10))
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -18,7 +18,8 @@
 
 var requestIDPattern = regexp.MustCompile(`^[\x21-\x7e]{1,128}$`)
 
-// readRequest reads the headers. The exchange always has an id.
+// readRequest parses a caller's request. The returned exchange always has an id, even when a
+// problem is returned with it.
 func (c *CallerServer) readRequest(e echo.Context) (*exchange, *Problem) {
 	r := e.Request()
 	x := &exchange{
@@ -46,33 +47,34 @@
 	return x, nil
 }
 
-// parseHeaders returns what is wrong with a header, with its name.
+// parseHeaders parses the Cinderslip headers of a request. It returns a description of the
+// first invalid header, or an empty string.
 func (c *CallerServer) parseHeaders(x *exchange) string {
 	header := x.request.Header
-	switch text := header.Get(headerRepeatable); text {
+	switch value := header.Get(headerRepeatable); value {
 	case "":
 		x.repeatable = isRepeatable(x.request.Method)
 	case "true", "false":
-		x.repeatable = text == "true"
+		x.repeatable = value == "true"
 	default:
 		return headerRepeatable + `: want "true" or "false"`
 	}
-	if text := header.Get(headerPriority); text != "" {
-		priority, err := strconv.ParseInt(text, 10, 16)
+	if value := header.Get(headerPriority); value != "" {
+		priority, err := strconv.ParseInt(value, 10, 16)
 		if err != nil {
 			return headerPriority + ": want a whole number from -32768 to 32767"
 		}
 		x.priority = int(priority)
 	}
-	wait := time.Duration(c.options.Deadline)
-	if text := header.Get(headerDeadline); text != "" {
-		milliseconds, err := strconv.ParseInt(text, 10, 32)
+	timeout := time.Duration(c.options.Deadline)
+	if value := header.Get(headerDeadline); value != "" {
+		milliseconds, err := strconv.ParseInt(value, 10, 32)
 		if err != nil || milliseconds <= 0 {
 			return headerDeadline + ": want the milliseconds left, a whole number above 0"
 		}
-		wait = time.Duration(milliseconds) * time.Millisecond
+		timeout = time.Duration(milliseconds) * time.Millisecond
 	}
-	x.deadline = x.arrived.Add(wait)
+	x.deadline = x.arrived.Add(timeout)
 	return ""
 }
 
@@ -84,16 +86,16 @@
 	return false
 }
 
-// resolveVersion finds what the request is for: a model in the version that is in force
-// for the group, or a plain service.
+// resolveVersion returns the service and version that a request is for. A model is resolved to
+// the version that the plan serves to the request's group; other services have no version.
 func (c *CallerServer) resolveVersion(x *exchange) (route.ServiceVersion, *refusal) {
 	model := table.Model(x.service)
 	if !c.view.HasModel(model) {
-		place := route.ServiceVersion{Service: x.service}
-		if c.view.Router().Count(place) == 0 {
-			return place, &refusal{reasonUnknownService, fmt.Sprintf("no box answers for service %q", x.service), time.Second}
+		version := route.ServiceVersion{Service: x.service}
+		if c.view.Router().Count(version) == 0 {
+			return version, &refusal{reasonUnknownService, fmt.Sprintf("no box answers for service %q", x.service), time.Second}
 		}
-		return place, nil
+		return version, nil
 	}
 	row, ok := c.view.RowPlan(table.Key{Group: x.group, Model: model})
 	if !ok {
--- a/internal/daemon/socket.go
+++ b/internal/daemon/socket.go
@@ -8,49 +8,49 @@
 	"syscall"
 )
 
-// boundSocket is an address that is bound but not listened on yet: nobody else
-// can take it, and connections to it are refused.
+// boundSocket is a TCP socket that is bound but not listening yet. No other process can bind its
+// address, and connections to it are refused.
 type boundSocket struct {
 	fd      int
 	address string
 }
 
-// bindSocket binds an IP address with a port; port 0 takes a free one.
+// bindSocket binds a socket to an address of the form IP:port. Port 0 selects a free port.
 func bindSocket(address string) (*boundSocket, error) {
-	parsed, err := netip.ParseAddrPort(address)
+	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, fmt.Errorf("reading the address: %w", err)
+		return nil, fmt.Errorf("parsing the address: %w", err)
 	}
-	family, name := syscall.AF_INET6, syscall.Sockaddr(&syscall.SockaddrInet6{Port: int(parsed.Port()), Addr: parsed.Addr().As16()})
-	if parsed.Addr().Is4() {
-		family, name = syscall.AF_INET, &syscall.SockaddrInet4{Port: int(parsed.Port()), Addr: parsed.Addr().As4()}
+	family, sockaddr := syscall.AF_INET6, syscall.Sockaddr(&syscall.SockaddrInet6{Port: int(addrPort.Port()), Addr: addrPort.Addr().As16()})
+	if addrPort.Addr().Is4() {
+		family, sockaddr = syscall.AF_INET, &syscall.SockaddrInet4{Port: int(addrPort.Port()), Addr: addrPort.Addr().As4()}
 	}
 	fd, err := syscall.Socket(family, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
 		return nil, fmt.Errorf("opening a socket: %w", err)
 	}
-	r := &boundSocket{fd: fd}
-	if err := r.bind(parsed, name); err != nil {
+	s := &boundSocket{fd: fd}
+	if err := s.bind(addrPort, sockaddr); err != nil {
 		_ = syscall.Close(fd)
 		return nil, fmt.Errorf("binding %s: %w", address, err)
 	}
-	return r, nil
+	return s, nil
 }
 
-func (r *boundSocket) bind(wanted netip.AddrPort, name syscall.Sockaddr) error {
-	// A fixed port must be had again right after a restart. A free one must not
-	// be shared, and is not, without the option.
+func (s *boundSocket) bind(addrPort netip.AddrPort, sockaddr syscall.Sockaddr) error {
+	// With SO_REUSEADDR, a fixed port can be bound again right after a restart. For
+	// port 0 it stays off, so that the selected port is not shared with another socket.
 	reuse := 0
-	if wanted.Port() != 0 {
+	if addrPort.Port() != 0 {
 		reuse = 1
 	}
-	if err := syscall.SetsockoptInt(r.fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, reuse); err != nil {
+	if err := syscall.SetsockoptInt(s.fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, reuse); err != nil {
 		return err
 	}
-	if err := syscall.Bind(r.fd, name); err != nil {
+	if err := syscall.Bind(s.fd, sockaddr); err != nil {
 		return err
 	}
-	bound, err := syscall.Getsockname(r.fd)
+	bound, err := syscall.Getsockname(s.fd)
 	if err != nil {
 		return err
 	}
@@ -61,24 +61,24 @@
 	case *syscall.SockaddrInet6:
 		port = bound.Port
 	}
-	r.address = netip.AddrPortFrom(wanted.Addr(), uint16(port)).String()
+	s.address = netip.AddrPortFrom(addrPort.Addr(), uint16(port)).String()
 	return nil
 }
 
-// listen turns the reservation into a listener. It is called once.
-func (r *boundSocket) listen() (net.Listener, error) {
-	// Its connections must not keep the port from the next start.
-	if err := syscall.SetsockoptInt(r.fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
-		return nil, fmt.Errorf("setting up %s: %w", r.address, err)
+// listen starts listening on the socket and returns its listener. It must be called only once.
+func (s *boundSocket) listen() (net.Listener, error) {
+	// Connections of this process must not prevent the next one from binding the port.
+	if err := syscall.SetsockoptInt(s.fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
+		return nil, fmt.Errorf("setting SO_REUSEADDR on %s: %w", s.address, err)
 	}
-	if err := syscall.Listen(r.fd, syscall.SOMAXCONN); err != nil {
-		return nil, fmt.Errorf("listening on %s: %w", r.address, err)
+	if err := syscall.Listen(s.fd, syscall.SOMAXCONN); err != nil {
+		return nil, fmt.Errorf("listening on %s: %w", s.address, err)
 	}
-	file := os.NewFile(uintptr(r.fd), r.address)
+	file := os.NewFile(uintptr(s.fd), s.address)
 	defer func() { _ = file.Close() }()
 	listener, err := net.FileListener(file)
 	if err != nil {
-		return nil, fmt.Errorf("listening on %s: %w", r.address, err)
+		return nil, fmt.Errorf("listening on %s: %w", s.address, err)
 	}
 	return listener, nil
 }
--- a/internal/daemon/swarm.go
+++ b/internal/daemon/swarm.go
@@ -11,15 +11,15 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-func (c *Loader) updateSwarms(swarms []*wire.Swarm) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (l *Loader) updateSwarms(swarms []*wire.Swarm) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, swarm := range swarms {
 		digest, err := weights.DigestFromBytes(swarm.Manifest)
 		if err != nil {
 			continue
 		}
-		if job, ok := c.jobs[digest]; ok {
+		if job, ok := l.jobs[digest]; ok {
 			job.updateSwarm(swarm)
 		}
 	}
@@ -39,10 +39,10 @@
 	}
 }
 
-// addPeers remembers the peers' addresses.
-func (j *versionJob) addPeers(told []*wire.SwarmPeer) []weights.Peer {
-	peers := make([]weights.Peer, 0, len(told))
-	for _, peer := range told {
+// addPeers records the addresses of the peers and converts them for the picker.
+func (j *versionJob) addPeers(swarmPeers []*wire.SwarmPeer) []weights.Peer {
+	peers := make([]weights.Peer, 0, len(swarmPeers))
+	for _, peer := range swarmPeers {
 		j.addresses[peer.Box] = member.Address(peer.Address)
 		peers = append(peers, weights.Peer{Box: peer.Box, Remote: peer.Far})
 	}
@@ -56,75 +56,76 @@
 	return address, ok
 }
 
-// fetchManifest asks neighbours first. The source is asked at once by the first
-// in the order of drawers, later by the others, so that it gives few copies.
-func (c *Loader) fetchManifest(ctx context.Context, job *versionJob) (*weights.Manifest, error) {
-	if manifest, ok := c.options.Store.Manifest(job.pinned.Manifest); ok {
+// fetchManifest returns the manifest of a version from the store, a neighbour or a weight source.
+// A box uses the sources only after RankDelay times its originFetchRank, so that the sources serve
+// few boxes and the others get the manifest from neighbours.
+func (l *Loader) fetchManifest(ctx context.Context, job *versionJob) (*weights.Manifest, error) {
+	if manifest, ok := l.options.Store.Manifest(job.pinned.Manifest); ok {
 		return manifest, nil
 	}
-	started := c.options.Clock.Now()
+	started := l.options.Clock.Now()
 	for ctx.Err() == nil {
-		if manifest, ok := c.manifestFromNeighbours(ctx, job); ok {
+		if manifest, ok := l.manifestFromNeighbours(ctx, job); ok {
 			return manifest, nil
 		}
-		if rank, known := job.originFetchRank(string(c.options.Self)); known {
-			due := started.Add(time.Duration(rank) * c.options.Picker.RankDelay)
-			if !c.options.Clock.Now().Before(due) {
-				return c.manifestFromSource(ctx, job)
+		if rank, known := job.originFetchRank(string(l.options.Self)); known {
+			due := started.Add(time.Duration(rank) * l.options.Picker.RankDelay)
+			if !l.options.Clock.Now().Before(due) {
+				return l.manifestFromSource(ctx, job)
 			}
 		}
 		select {
 		case <-ctx.Done():
 		case <-job.swarmUpdated:
-		case <-c.options.Clock.After(holdingsInterval):
+		case <-l.options.Clock.After(holdingsInterval):
 		}
 	}
 	return nil, ctx.Err()
 }
 
-// originFetchRank is the box's place in the order of drawers; known is false until some
-// monitor has told who they are.
+// originFetchRank returns the box's rank among the origin fetchers, starting at 0. A box that is
+// not one of them ranks last. If no swarm has been received from a monitor yet, known is false.
 func (j *versionJob) originFetchRank(self string) (rank int, known bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	boxes := make([]string, 0, len(j.originFetchers))
-	for _, drawer := range j.originFetchers {
-		boxes = append(boxes, drawer.Box)
+	for _, fetcher := range j.originFetchers {
+		boxes = append(boxes, fetcher.Box)
 	}
 	ordered := member.Rank(j.pinned.Manifest.String(), boxes, len(boxes))
-	if at := slices.Index(ordered, self); at >= 0 {
-		return at, true
+	if index := slices.Index(ordered, self); index >= 0 {
+		return index, true
 	}
 	return len(ordered), j.hasSwarm
 }
 
-func (c *Loader) manifestFromNeighbours(ctx context.Context, job *versionJob) (*weights.Manifest, bool) {
+func (l *Loader) manifestFromNeighbours(ctx context.Context, job *versionJob) (*weights.Manifest, bool) {
 	for _, address := range job.neighbourAddresses() {
 		callCtx, cancel := context.WithTimeout(ctx, dialTimeout)
-		answer, err := wire.NewDRPCChunksClient(c.options.Peers.Conn(address)).
+		response, err := wire.NewDRPCChunksClient(l.options.Peers.Conn(address)).
 			Manifest(callCtx, &wire.ManifestRequest{Manifest: job.pinned.Manifest[:]})
 		cancel()
-		if err != nil || len(answer.Content) == 0 {
+		if err != nil || len(response.Content) == 0 {
 			continue
 		}
-		manifest, err := weights.Parse(answer.Content, job.pinned.Manifest)
+		manifest, err := weights.Parse(response.Content, job.pinned.Manifest)
 		if err == nil {
 			return manifest, true
 		}
-		c.options.Metrics.chunkFaults.WithLabelValues("peer", "manifest").Inc()
-		c.options.Log.Warn().Str("peer", string(address)).Err(err).Msg("manifest refused")
+		l.options.Metrics.chunkFaults.WithLabelValues("peer", "manifest").Inc()
+		l.options.Log.Warn().Str("peer", string(address)).Err(err).Msg("manifest from a peer is invalid; trying the next neighbour")
 	}
 	return nil, false
 }
 
-func (c *Loader) manifestFromSource(ctx context.Context, job *versionJob) (*weights.Manifest, error) {
-	content, err := readManifest(ctx, c.options.Sources, job.pinned.Model, job.pinned.Version)
+func (l *Loader) manifestFromSource(ctx context.Context, job *versionJob) (*weights.Manifest, error) {
+	content, err := readManifest(ctx, l.options.Sources, job.pinned.Model, job.pinned.Version)
 	if err != nil {
 		return nil, fmt.Errorf("reading the manifest: %w", err)
 	}
 	manifest, err := weights.Parse(content, job.pinned.Manifest)
 	if err != nil {
-		c.options.Metrics.chunkFaults.WithLabelValues("source", "manifest").Inc()
+		l.options.Metrics.chunkFaults.WithLabelValues("source", "manifest").Inc()
 		return nil, err
 	}
 	return manifest, nil
--- a/internal/daemon/witness.go
+++ b/internal/daemon/witness.go
@@ -9,50 +9,52 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// claimTimeout bounds one call of a witness.
+// claimTimeout limits one Claim or Release call to a witness.
 const claimTimeout = 500 * time.Millisecond
 
-// claimAtWitness makes another agent a witness that a request id is about to run. Had the
-// id run before, on this agent or the witness, one of the two knows. If no witness
-// answers, the request is refused as not run: the entry box knows better ones soon.
-func (g *BackendProxy) claimAtWitness(ctx context.Context, head *wire.RequestHead) (wire.Refusal, string) {
+// claimAtWitness claims the request id at the first witness that responds. If the request ran
+// before, this agent or the witness has a record of its id. If no witness responds, the request
+// is refused as not run; by its next attempt, the entry box may know witnesses that respond.
+func (p *BackendProxy) claimAtWitness(ctx context.Context, head *wire.RequestHead) (wire.Refusal, string) {
 	if head.Repeatable || len(head.Witnesses) == 0 {
 		return wire.Refusal_REFUSAL_NONE, ""
 	}
 	refusal, detail := wire.Refusal_REFUSAL_WITNESS, "no witness answers"
 	for _, witness := range head.Witnesses {
 		callCtx, cancel := context.WithTimeout(ctx, claimTimeout)
-		answer, err := wire.NewDRPCBackendClient(g.peers.Conn(member.Address(witness))).Claim(callCtx, newClaimRequest(head))
+		response, err := wire.NewDRPCBackendClient(p.peers.Conn(member.Address(witness))).Claim(callCtx, newClaimRequest(head))
 		cancel()
 		if err != nil {
 			continue
 		}
-		if !answer.Seen {
+		if !response.Seen {
 			return wire.Refusal_REFUSAL_NONE, ""
 		}
 		refusal, detail = wire.Refusal_REFUSAL_DUPLICATE, "the request id ran before on another box"
 		break
 	}
-	g.dedup.Abandon(route.RequestID(head.RequestId), route.AttemptID(head.Attempt), g.clock.Now())
+	p.dedup.Abandon(route.RequestID(head.RequestId), route.AttemptID(head.Attempt), p.clock.Now())
 	if refusal == wire.Refusal_REFUSAL_WITNESS {
-		// A witness that did not answer may hold the claim, and the next attempt may go there.
-		g.releaseClaims(head)
+		// A witness whose response was lost may hold the claim, and would refuse the next
+		// attempt if that is sent to it.
+		p.releaseClaims(head)
 	}
 	return refusal, detail
 }
 
-// releaseClaims takes back the claims of an attempt that did not run. A claim that is
-// not taken back only makes the id unknown for the window.
-func (g *BackendProxy) releaseClaims(head *wire.RequestHead) {
+// releaseClaims releases the claims of an attempt that did not run. If a release fails, later
+// attempts with the id may be refused as duplicates, and so get an unknown outcome, until the
+// dedup window ends.
+func (p *BackendProxy) releaseClaims(head *wire.RequestHead) {
 	if head.Repeatable {
 		return
 	}
 	for _, witness := range head.Witnesses {
 		ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
-		_, err := wire.NewDRPCBackendClient(g.peers.Conn(member.Address(witness))).Release(ctx, newClaimRequest(head))
+		_, err := wire.NewDRPCBackendClient(p.peers.Conn(member.Address(witness))).Release(ctx, newClaimRequest(head))
 		cancel()
 		if err != nil {
-			g.log.Debug().Str("witness", witness).Err(err).Msg("claim not released")
+			p.log.Debug().Str("witness", witness).Err(err).Msg("releasing the claim at a witness failed; it may refuse the request id until the dedup window ends")
 		}
 	}
 }
@@ -61,14 +63,15 @@
 	return &wire.ClaimRequest{RequestId: head.RequestId, Attempt: head.Attempt}
 }
 
-// Claim answers another agent.
-func (g *BackendProxy) Claim(_ context.Context, request *wire.ClaimRequest) (*wire.ClaimResponse, error) {
-	held := g.dedup.Claim(route.RequestID(request.RequestId), route.AttemptID(request.Attempt), g.clock.Now())
-	return &wire.ClaimResponse{Seen: !held}, nil
+// Claim records a request id for an attempt that is about to run on another agent. Seen is true if
+// another attempt with the id is on record here.
+func (p *BackendProxy) Claim(_ context.Context, request *wire.ClaimRequest) (*wire.ClaimResponse, error) {
+	claimed := p.dedup.Claim(route.RequestID(request.RequestId), route.AttemptID(request.Attempt), p.clock.Now())
+	return &wire.ClaimResponse{Seen: !claimed}, nil
 }
 
-// Release answers another agent.
-func (g *BackendProxy) Release(_ context.Context, request *wire.ClaimRequest) (*wire.ReleaseResponse, error) {
-	g.dedup.Release(route.RequestID(request.RequestId), route.AttemptID(request.Attempt))
+// Release removes the claim of an attempt that did not run on another agent.
+func (p *BackendProxy) Release(_ context.Context, request *wire.ClaimRequest) (*wire.ReleaseResponse, error) {
+	p.dedup.Release(route.RequestID(request.RequestId), route.AttemptID(request.Attempt))
 	return &wire.ReleaseResponse{}, nil
 }
--- a/internal/daemon/witness_test.go
+++ b/internal/daemon/witness_test.go
@@ -13,19 +13,21 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// lossyWitness takes claims whose answers are lost.
+// lossyWitness is a witness that records claims but whose responses are lost.
 type lossyWitness struct {
 	*BackendProxy
 }
 
-// Claim takes the claim and answers with an error.
+// Claim records the claim and returns an error.
 func (w lossyWitness) Claim(ctx context.Context, request *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 	_, err := w.BackendProxy.Claim(ctx, request)
-	return nil, errors.Join(err, errors.New("the answer is lost"))
+	return nil, errors.Join(err, errors.New("response lost"))
 }
 
-// A witness that was slow to answer kept the claim of an attempt that had been refused as not
-// run, and refused the next attempt, on itself, as run before (planned-stops, beside load).
+// If the response of a witness is lost, the attempt is refused as not run, but the witness has
+// recorded its claim. The claim must be released. Otherwise the witness refuses the next attempt
+// as a duplicate when that is sent to the witness itself, which happened during planned stops
+// under load.
 func TestClaimWithLostResponseIsReleased(t *testing.T) {
 	backend := serveHTTP(t, http.HandlerFunc(echoRequest))
 	runner, witness := newProxyFixture(t, backend), newProxyFixture(t, backend)
