--- a/internal/direct/concurrency_test.go
+++ b/internal/direct/concurrency_test.go
@@ -14,8 +14,8 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// runInterleaved runs two calls that take the same lock so that, as often as not, the second goes
-// on before the first, which waits for the lock when the second begins.
+// runInterleaved runs two calls that take the same lock. The first waits for the lock when the second starts, and
+// in about half of the runs the second one gets it first.
 func runInterleaved(lock, unlock, first, second func()) {
 	lock()
 	waiting, done := make(chan struct{}), make(chan struct{})
@@ -26,7 +26,7 @@
 	}()
 	<-waiting
 	for range 2000 {
-		// The first call needs some microseconds to come to the lock.
+		// The first call needs some microseconds to reach the lock.
 		_ = waiting
 	}
 	unlock()
@@ -36,8 +36,9 @@
 
 const interleavings = 3000
 
-// A box heard from one that another was up, and at the same moment from that one itself that it
-// was starting. The older word was kept last, and callers were not led there for good.
+// Guards against an older record replacing a newer one. A box received from a second box that a third was up, and
+// at the same moment from the third itself that it was starting. The older record was kept, and callers were never
+// directed to the third box.
 func TestNewerOfConcurrentRecordsWins(t *testing.T) {
 	older := recordItems(t, member.Record{Box: "b", Incarnation: 1, Sequence: 1, Status: member.StatusStarting})
 	newer := recordItems(t, member.Record{Box: "b", Incarnation: 1, Sequence: 2, Status: member.StatusUp})
@@ -50,32 +51,32 @@
 	}
 }
 
-// The same of entries of the store: a server that had left stayed believed.
+// Guards against the same race between entries of the store, which kept a server that had left in the view.
 func TestNewerOfConcurrentEntriesWins(t *testing.T) {
-	gone := fleet.Fact{Key: fleet.ServerKey("a"), Revision: 7, Deleted: true}
+	deletion := fleet.Fact{Key: fleet.ServerKey("a"), Revision: 7, Deleted: true}
 	for range interleavings {
-		facts := NewFleetState(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
+		fleetState := NewFleetState(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
 		runInterleaved(
-			facts.mu.Lock, facts.mu.Unlock,
-			func() { facts.Apply([]fleet.Fact{listed("a", 3)}, "entry-2") }, func() { facts.Apply([]fleet.Fact{gone}, "store") },
+			fleetState.mu.Lock, fleetState.mu.Unlock,
+			func() { fleetState.Apply([]fleet.Fact{listed("a", 3)}, "entry-2") }, func() { fleetState.Apply([]fleet.Fact{deletion}, "store") },
 		)
-		require.Empty(t, facts.View().Servers("llm"))
+		require.Empty(t, fleetState.View().Servers("llm"))
 	}
 }
 
-// The same the other way round: a server that was back stayed gone until it wrote its entry anew.
+// Guards against the opposite race, which kept a returned server out of the view until it wrote its entry again.
 func TestServerReturningDuringDeletionIsKept(t *testing.T) {
 	for range interleavings / 6 {
-		facts := NewFleetState(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
+		fleetState := NewFleetState(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
 		runInterleaved(
-			facts.mu.Lock, facts.mu.Unlock,
-			func() { facts.Apply([]fleet.Fact{deleted()}, "store") }, func() { facts.Apply([]fleet.Fact{listed("a", 9)}, "entry-2") },
+			fleetState.mu.Lock, fleetState.mu.Unlock,
+			func() { fleetState.Apply([]fleet.Fact{deleted()}, "store") }, func() { fleetState.Apply([]fleet.Fact{listed("a", 9)}, "entry-2") },
 		)
-		require.Len(t, facts.View().Servers("llm"), 1)
+		require.Len(t, fleetState.View().Servers("llm"), 1)
 	}
 }
 
-// configurationWithKeys is a configuration in which each version up to its own has added a key.
+// configurationWithKeys returns a configuration in which each version up to its own has added a key.
 func configurationWithKeys(version uint64, revision fleet.Revision) fleet.Fact {
 	organisation := fleet.Organisation{Name: "kumiai"}
 	for v := uint64(1); v <= version; v++ {
@@ -86,23 +87,27 @@
 	}}
 }
 
-// Two batches of configurations come from two sides at the same moment: the key that the newest
-// one adds counts, whichever batch is taken last.
+// Two batches of configurations arrive from two sources at the same moment. The key added by the newest one must
+// be valid, whichever batch is applied last.
 func TestNewestOfConcurrentConfigurationsApplies(t *testing.T) {
 	for range interleavings / 6 {
-		facts := NewFleetState(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
+		fleetState := NewFleetState(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
 		runInterleaved(
-			facts.mu.Lock, facts.mu.Unlock,
-			func() { facts.Apply([]fleet.Fact{configurationWithKeys(1, 4), configurationWithKeys(2, 5)}, "entry-2") },
-			func() { facts.Apply([]fleet.Fact{configurationWithKeys(3, 8), configurationWithKeys(4, 9)}, "store") },
+			fleetState.mu.Lock, fleetState.mu.Unlock,
+			func() {
+				fleetState.Apply([]fleet.Fact{configurationWithKeys(1, 4), configurationWithKeys(2, 5)}, "entry-2")
+			},
+			func() {
+				fleetState.Apply([]fleet.Fact{configurationWithKeys(3, 8), configurationWithKeys(4, 9)}, "store")
+			},
 		)
-		_, known := facts.View().Organisation("k4")
+		_, known := fleetState.View().Organisation("k4")
 		require.True(t, known)
 	}
 }
 
-// factsAfterOutage is what is told once the store is back from a silence in which entries ran out:
-// their deletions, and five configurations with the servers that come back among them.
+// factsAfterOutage returns the facts reported after an outage of the store in which entries expired: their
+// deletions, and five configurations interleaved with the returning servers.
 func factsAfterOutage() []fleet.Fact {
 	deleted := func(id fleet.ServerID, revision fleet.Revision) fleet.Fact {
 		return fleet.Fact{Key: fleet.ServerKey(id), Revision: revision, Deleted: true}
@@ -113,91 +118,93 @@
 	}
 }
 
-// countRegressions counts how often the view goes back to an older configuration, until it is ended.
-func countRegressions(facts *FleetState) (end func() (back int)) {
-	stop, back := make(chan struct{}), make(chan int)
+// countRegressions counts how often the view returns to an older configuration. The returned function ends the
+// counting and returns the count.
+func countRegressions(fleetState *FleetState) (stopCounting func() (count int)) {
+	done, result := make(chan struct{}), make(chan int)
 	go func() {
-		steps, newest := 0, uint64(0)
+		regressions, newest := 0, uint64(0)
 		for {
-			version := facts.View().Configuration.Version
+			version := fleetState.View().Configuration.Version
 			if version < newest {
-				steps++
+				regressions++
 			}
 			newest = max(newest, version)
 			select {
-			case <-stop:
-				back <- steps
+			case <-done:
+				result <- regressions
 				return
 			default:
 			}
 		}
 	}()
 	return func() int {
-		close(stop)
-		return <-back
+		close(done)
+		return <-result
 	}
 }
 
-// applyConcurrently lets a box hear of all that the store tells after its return from another box, and at
-// the same moment of the part before a place from the store and of the rest from a third box.
-func applyConcurrently(facts *FleetState, try int) {
-	told := factsAfterOutage()
-	cut := 1 + try%(len(told)-1)
-	var begun, heard sync.WaitGroup
-	begun.Add(3)
-	facts.mu.Lock()
+// applyConcurrently applies all facts after an outage from another box. Concurrently, it applies the facts up to a
+// split point from the store and the remaining ones from a third box.
+func applyConcurrently(fleetState *FleetState, try int) {
+	received := factsAfterOutage()
+	split := 1 + try%(len(received)-1)
+	var started, applied sync.WaitGroup
+	started.Add(3)
+	fleetState.mu.Lock()
 	for from, batches := range map[string][][]fleet.Fact{
-		"entry-2": {told},
-		"store":   slices.Collect(slices.Chunk(told[:cut], 1+try%3)),
-		"entry-3": slices.Collect(slices.Chunk(told[cut:], 1+try%2)),
+		"entry-2": {received},
+		"store":   slices.Collect(slices.Chunk(received[:split], 1+try%3)),
+		"entry-3": slices.Collect(slices.Chunk(received[split:], 1+try%2)),
 	} {
-		heard.Go(func() {
-			begun.Done()
+		applied.Go(func() {
+			started.Done()
 			for _, batch := range batches {
-				facts.Apply(batch, from)
+				fleetState.Apply(batch, from)
 			}
 		})
 	}
-	begun.Wait()
+	started.Wait()
 	for range 20000 {
-		// The calls need some microseconds to come to the lock.
-		_ = told
+		// The calls need some microseconds to reach the lock.
+		_ = received
 	}
-	facts.mu.Unlock()
-	heard.Wait()
+	fleetState.mu.Unlock()
+	applied.Wait()
 }
 
-// interleavingTries play each place and each size of batches three times.
+// interleavingTries covers each split point and each batch size three times.
 const interleavingTries = 180
 
-// newStateWithThreeServers is a box that knew three servers and a configuration before the store fell silent.
+// newStateWithThreeServers returns the state of a box that knew three servers and a configuration before an outage
+// of the store.
 func newStateWithThreeServers() *FleetState {
-	facts := NewFleetState(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
-	facts.Apply([]fleet.Fact{listed("a", 3), listed("b", 4), listed("c", 5), configurationWithKeys(1, 6)}, "store")
-	return facts
+	fleetState := NewFleetState(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
+	fleetState.Apply([]fleet.Fact{listed("a", 3), listed("b", 4), listed("c", 5), configurationWithKeys(1, 6)}, "store")
+	return fleetState
 }
 
-// The store was back after a silence, and two boxes refused keys that it had confirmed seconds
-// before. From whatever sides the news comes at once, the newest configuration is in force.
+// Guards against an older configuration replacing a newer one when both arrive at once. After an outage of the
+// store, two boxes refused keys that it had confirmed seconds before.
 func TestNewestKeysApplyAfterStoreOutage(t *testing.T) {
 	for try := range interleavingTries {
-		facts := newStateWithThreeServers()
-		end := countRegressions(facts)
-		applyConcurrently(facts, try)
-		require.Zero(t, end(), "try %d: the view went back", try)
-		require.Equal(t, fleet.Revision(72), facts.Watermarks().Newest)
+		fleetState := newStateWithThreeServers()
+		stopCounting := countRegressions(fleetState)
+		applyConcurrently(fleetState, try)
+		require.Zero(t, stopCounting(), "try %d: the view returned to an older configuration", try)
+		require.Equal(t, fleet.Revision(72), fleetState.Watermarks().Newest)
 		for version := 1; version <= 6; version++ {
-			_, known := facts.View().Organisation(fleet.APIKey(fmt.Sprint("k", version)))
-			require.True(t, known, "try %d: the key of version %d is refused", try, version)
+			_, known := fleetState.View().Organisation(fleet.APIKey(fmt.Sprint("k", version)))
+			require.True(t, known, "try %d: key of version %d is refused", try, version)
 		}
 	}
 }
 
-// The same of the servers whose entries had run out: all that come back are believed again.
+// Guards against the same race between entries of servers that expired and returned.
 func TestServersReturnAfterStoreOutage(t *testing.T) {
 	for try := range interleavingTries {
-		facts := newStateWithThreeServers()
-		applyConcurrently(facts, try)
-		require.Len(t, facts.View().Servers("llm"), 3, "try %d", try)
+		fleetState := newStateWithThreeServers()
+		applyConcurrently(fleetState, try)
+		require.Len(t, fleetState.View().Servers("llm"), 3, "try %d", try)
 	}
 }
--- a/internal/direct/departures.go
+++ b/internal/direct/departures.go
@@ -10,37 +10,39 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// A backend server that will end says so in its entry in the platform's store, and in all its answers.
-// The entry may tell it late or never: while the store is silent it may go on to get requests for
-// seconds after its first word. So the word is kept here, beside the entries, for the start of the
-// server that gave it, and told to all processes that may use the server. No entry takes it back: one that
-// says ready may be of before, or written again as the store returns. A later start of the server ends it.
-
-// maxDepartures bounds the departures that are kept of servers that are not listed: an entry of before may
-// come back for some seconds after the store has been away, and a fleet replaces fewer meanwhile.
+// A backend server announces its departure in its entry in the platform's store and in all its responses. The
+// entry may be late or never arrive: while the store is down, the server could receive requests for seconds after
+// its first announcement. Departures are therefore kept beside the entries, for the incarnation of the server that
+// announced them, and are reported to all processes that may use the server. No entry revokes a departure, as an
+// entry of a ready server may be outdated, or be written again when the store recovers. Only a later incarnation
+// of the server ends it.
+
+// maxDepartures bounds the number of departures. Departures of unlisted servers are kept too, as an old entry may
+// reappear for some seconds after an outage of the store. A fleet replaces fewer servers in that time.
 const maxDepartures = 1024
 
-// departure is a server's word that it will end.
+// departure is a server's announcement that it will leave.
 type departure struct {
-	// incarnation is the start of the server that gave it; 0 where the platform does not tell starts.
+	// incarnation is the incarnation that announced it, or 0 if the platform does not report incarnations.
 	incarnation member.Incarnation
-	// received is when a request's answer last gave it here; zero if it was only told by others.
+	// received is when a response last announced it to this process, or zero if it was only reported by others.
 	received time.Time
-	// seq orders the departures as they were heard of here.
+	// seq numbers the departures in the order in which they were received.
 	seq uint64
 }
 
-// appliesTo reports whether the word was given by a start of the server, or by a later one.
-func (d *departure) appliesTo(start member.Incarnation) bool {
-	return start <= d.incarnation || fleet.WasRunning(start, d.received)
+// appliesTo reports whether the departure was announced by the given incarnation of the server or by a later one.
+func (d *departure) appliesTo(incarnation member.Incarnation) bool {
+	return incarnation <= d.incarnation || fleet.WasRunning(incarnation, d.received)
 }
 
-// departures are the servers that have said in their answers that they will end.
+// departures are the departures that servers have announced.
 type departures struct {
 	byServer map[fleet.ServerID]departure
-	// seq is that of the newest.
+	// seq is the number of the newest departure.
 	seq uint64
-	// incarnations are the starts that agents have told of servers whose entries tell of an earlier one.
+	// incarnations are the incarnations that agents have reported for servers whose entries contain an earlier
+	// one.
 	incarnations map[fleet.ServerID]member.Incarnation
 }
 
@@ -48,32 +50,32 @@
 	return departures{byServer: make(map[fleet.ServerID]departure), incarnations: make(map[fleet.ServerID]member.Incarnation)}
 }
 
-// isLeaving reports whether a server, as it is listed, has said that it will end.
+// isLeaving reports whether a listed server has announced its departure.
 func (d *departures) isLeaving(server *fleet.Server) bool {
-	left, ok := d.byServer[server.ID]
-	return ok && left.appliesTo(max(server.Incarnation, d.incarnations[server.ID]))
+	known, ok := d.byServer[server.ID]
+	return ok && known.appliesTo(max(server.Incarnation, d.incarnations[server.ID]))
 }
 
-// record notes the word of one start of a server, heard in an answer at a time or, if that is zero, from others, and
-// reports whether it is news.
-func (d *departures) record(told fleet.Departure, heard time.Time, isListed func(id fleet.ServerID) bool) bool {
-	known, ok := d.byServer[told.Server]
-	if ok && heard.After(known.received) {
-		known.received = heard
-		d.byServer[told.Server] = known
+// record adds a departure and reports whether it is new. receivedAt is the time of the response that announced it,
+// or zero if another process reported it.
+func (d *departures) record(reported fleet.Departure, receivedAt time.Time, isListed func(id fleet.ServerID) bool) bool {
+	known, ok := d.byServer[reported.Server]
+	if ok && receivedAt.After(known.received) {
+		known.received = receivedAt
+		d.byServer[reported.Server] = known
 	}
-	if ok && told.Incarnation <= known.incarnation || told.Incarnation < d.incarnations[told.Server] {
+	if ok && reported.Incarnation <= known.incarnation || reported.Incarnation < d.incarnations[reported.Server] {
 		return false
 	}
 	d.seq++
-	d.byServer[told.Server] = departure{told.Incarnation, heard, d.seq}
+	d.byServer[reported.Server] = departure{reported.Incarnation, receivedAt, d.seq}
 	if len(d.byServer) > maxDepartures {
 		d.evict(isListed)
 	}
 	return true
 }
 
-// evict drops the older half of the departures of servers that are not listed.
+// evict deletes the older half of the departures of unlisted servers.
 func (d *departures) evict(isListed func(id fleet.ServerID) bool) {
 	var unlisted []fleet.ServerID
 	for id := range d.byServer {
@@ -87,53 +89,53 @@
 	}
 }
 
-// since returns the departures that were heard of after a number of them, the oldest first.
-func (d *departures) since(told uint64) (left []fleet.Departure, now uint64) {
-	if told == d.seq {
-		return nil, told
+// since returns the departures after a cursor, oldest first, and the cursor for the next call.
+func (d *departures) since(cursor uint64) (recent []fleet.Departure, next uint64) {
+	if cursor == d.seq {
+		return nil, cursor
 	}
 	for id, known := range d.byServer {
-		if known.seq > told {
-			left = append(left, fleet.Departure{Server: id, Incarnation: known.incarnation})
+		if known.seq > cursor {
+			recent = append(recent, fleet.Departure{Server: id, Incarnation: known.incarnation})
 		}
 	}
-	slices.SortFunc(left, func(a, b fleet.Departure) int { return d.compareSeq(a.Server, b.Server) })
-	return left, d.seq
+	slices.SortFunc(recent, func(a, b fleet.Departure) int { return d.compareSeq(a.Server, b.Server) })
+	return recent, d.seq
 }
 
-// compareSeq orders servers as their departures were heard of.
+// compareSeq compares two servers by the order in which their departures were received.
 func (d *departures) compareSeq(a, b fleet.ServerID) int {
 	return cmp.Compare(d.byServer[a].seq, d.byServer[b].seq)
 }
 
-// MergeDepartures takes which servers have said that they will end, each for one of its starts, as another process
-// tells.
-func (f *FleetState) MergeDepartures(told []fleet.Departure, from string) {
+// MergeDepartures merges departures that another process reports, each for one incarnation of a server.
+func (f *FleetState) MergeDepartures(reported []fleet.Departure, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.recordDepartures(told, time.Time{}, from)
+	f.recordDepartures(reported, time.Time{}, from)
 }
 
-// ObserveDeparture takes a server's word that it will end from an answer that has just come. The start is the latest
-// that was known when the request was sent.
-func (f *FleetState) ObserveDeparture(server fleet.ServerID, start member.Incarnation, from string) {
+// ObserveDeparture records a departure that a server has just announced in a response. The incarnation is the
+// latest one known when the request was sent.
+func (f *FleetState) ObserveDeparture(server fleet.ServerID, incarnation member.Incarnation, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.recordDepartures([]fleet.Departure{{Server: server, Incarnation: start}}, f.clock.Now(), from)
+	f.recordDepartures([]fleet.Departure{{Server: server, Incarnation: incarnation}}, f.clock.Now(), from)
 }
 
-// recordDepartures takes departures, heard in an answer at a time or, if that is zero, from others. The lock must be held.
-func (f *FleetState) recordDepartures(told []fleet.Departure, heard time.Time, from string) {
-	learned := false
-	for _, left := range told {
-		if !f.departures.record(left, heard, f.isListed) {
+// recordDepartures records departures. receivedAt is the time of the response that announced them, or zero if
+// another process reported them. The lock must be held.
+func (f *FleetState) recordDepartures(reported []fleet.Departure, receivedAt time.Time, from string) {
+	changed := false
+	for _, d := range reported {
+		if !f.departures.record(d, receivedAt, f.isListed) {
 			continue
 		}
-		learned = true
-		f.log.Info().Str("server", string(left.Server)).Uint64("incarnation", uint64(left.Incarnation)).Bool("listed", f.isListed(left.Server)).
+		changed = true
+		f.log.Info().Str("server", string(d.Server)).Uint64("incarnation", uint64(d.Incarnation)).Bool("listed", f.isListed(d.Server)).
 			Str("from", from).Msg("server has said that it leaves")
 	}
-	if learned {
+	if changed {
 		f.refreshServers()
 	}
 }
@@ -144,72 +146,71 @@
 	return listed
 }
 
-// refreshServers publishes the servers as they are believed now. The lock must be held.
+// refreshServers updates the servers in the view. The lock must be held.
 func (f *FleetState) refreshServers() {
 	view := f.View()
 	f.setView(view.WithServers(f.currentServers(view.Configuration)))
 }
 
-// MergeAgentReport takes what the agent beside the server at an address tells of it: which start of the server
-// it hears, and whether that leaves. A start that is later than the entry's ends what was said by the one
-// before at once; the entry may not follow for as long as the store is away. Where the platform does not
-// tell starts nothing is taken: the word could be of the server that had the address before, and the next
-// one would be lost for good.
-func (f *FleetState) MergeAgentReport(address member.Address, started member.Incarnation, leaving bool, from string) {
-	if started == 0 {
+// MergeAgentReport merges the report of an agent on the server at its address: the incarnation of the server and
+// whether that incarnation is leaving. An incarnation later than the entry's ends the departure of the one before
+// at once, because the entry may not follow while the store is down. Reports without an incarnation are ignored:
+// the departure could belong to the server that had the address before, and the next server would stay leaving
+// forever.
+func (f *FleetState) MergeAgentReport(address member.Address, incarnation member.Incarnation, leaving bool, from string) {
+	if incarnation == 0 {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var left []fleet.Departure
-	began := false
+	var reported []fleet.Departure
+	restarted := false
 	for id, server := range f.servers {
-		if server.Address != address || started < server.Incarnation {
+		if server.Address != address || incarnation < server.Incarnation {
 			continue
 		}
 		if leaving {
-			left = append(left, fleet.Departure{Server: id, Incarnation: started})
+			reported = append(reported, fleet.Departure{Server: id, Incarnation: incarnation})
 		}
-		if started > max(server.Incarnation, f.departures.incarnations[id]) && server.Incarnation != 0 {
-			f.departures.incarnations[id] = started
-			began = true
-			f.log.Info().Str("server", string(id)).Uint64("incarnation", uint64(started)).Uint64("listed", uint64(server.Incarnation)).
+		if incarnation > max(server.Incarnation, f.departures.incarnations[id]) && server.Incarnation != 0 {
+			f.departures.incarnations[id] = incarnation
+			restarted = true
+			f.log.Info().Str("server", string(id)).Uint64("incarnation", uint64(incarnation)).Uint64("listed", uint64(server.Incarnation)).
 				Str("from", from).Msg("server has started again, its entry tells of before")
 		}
 	}
-	if began {
+	if restarted {
 		f.refreshServers()
 	}
-	f.recordDepartures(left, time.Time{}, from)
+	f.recordDepartures(reported, time.Time{}, from)
 }
 
-// DeparturesSince returns the departures that were heard of after a number of them, and how many there are
-// now.
-func (f *FleetState) DeparturesSince(told uint64) (left []fleet.Departure, now uint64) {
+// DeparturesSince returns the departures after a cursor, oldest first, and the cursor for the next call.
+func (f *FleetState) DeparturesSince(cursor uint64) (recent []fleet.Departure, next uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.departures.since(told)
+	return f.departures.since(cursor)
 }
 
-// departureSeq goes up with each departure that is heard of.
+// departureSeq returns the number of the newest departure.
 func (f *FleetState) departureSeq() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.departures.seq
 }
 
-func departuresToWire(left []fleet.Departure) []*wire.Departure {
-	told := make([]*wire.Departure, 0, len(left))
-	for _, d := range left {
-		told = append(told, &wire.Departure{Server: string(d.Server), Incarnation: uint64(d.Incarnation)})
+func departuresToWire(reported []fleet.Departure) []*wire.Departure {
+	messages := make([]*wire.Departure, 0, len(reported))
+	for _, d := range reported {
+		messages = append(messages, &wire.Departure{Server: string(d.Server), Incarnation: uint64(d.Incarnation)})
 	}
-	return told
+	return messages
 }
 
-func departuresFromWire(told []*wire.Departure) []fleet.Departure {
-	left := make([]fleet.Departure, 0, len(told))
-	for _, d := range told {
-		left = append(left, fleet.Departure{Server: fleet.ServerID(d.Server), Incarnation: member.Incarnation(d.Incarnation)})
+func departuresFromWire(messages []*wire.Departure) []fleet.Departure {
+	reported := make([]fleet.Departure, 0, len(messages))
+	for _, d := range messages {
+		reported = append(reported, fleet.Departure{Server: fleet.ServerID(d.Server), Incarnation: member.Incarnation(d.Incarnation)})
 	}
-	return left
+	return reported
 }
--- a/internal/direct/departures_test.go
+++ b/internal/direct/departures_test.go
@@ -15,14 +15,14 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// listedIncarnation is the entry of one start of server a, which is ready.
+// listedIncarnation returns the entry of one incarnation of server a, which is ready.
 func listedIncarnation(incarnation member.Incarnation, revision fleet.Revision) fleet.Fact {
 	fact := listedAt("a", "10.0.0.1:8000", revision)
 	fact.Server.Incarnation = incarnation
 	return fact
 }
 
-// deletedAt is that server a has no entry any more.
+// deletedAt returns the deletion of the entry of server a.
 func deletedAt(revision fleet.Revision) fleet.Fact {
 	return fleet.Fact{Key: fleet.ServerKey("a"), Revision: revision, Deleted: true}
 }
@@ -31,9 +31,9 @@
 	return NewFleetState(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
 }
 
-// leavingServerIDs are the servers that are believed to leave.
-func leavingServerIDs(facts *FleetState) (leaving []fleet.ServerID) {
-	for _, server := range facts.View().Servers("llm") {
+// leavingServerIDs returns the servers that are leaving in the view.
+func leavingServerIDs(fleetState *FleetState) (leaving []fleet.ServerID) {
+	for _, server := range fleetState.View().Servers("llm") {
 		if server.Leaving {
 			leaving = append(leaving, server.ID)
 		}
@@ -41,148 +41,149 @@
 	return leaving
 }
 
-// While the store was silent a server that said in its answers that it leaves stood as ready in every list.
+// Guards against listing a server as ready after it announced its departure in responses while the store was down.
 func TestDepartureOutlivesServerEntryUpdates(t *testing.T) {
-	left := []fleet.Departure{{Server: "a", Incarnation: 5}}
+	reported := []fleet.Departure{{Server: "a", Incarnation: 5}}
 	for name, test := range map[string]struct {
-		meanwhile func(facts *FleetState)
-		leaves    bool
+		update      func(fleetState *FleetState)
+		wantLeaving bool
 	}{
-		"nothing":          {func(*FleetState) {}, true},
-		"written again":    {func(f *FleetState) { f.Apply([]fleet.Fact{listedIncarnation(5, 7)}, "store") }, true},
-		"of before":        {func(f *FleetState) { f.Apply([]fleet.Fact{listedIncarnation(4, 7)}, "store") }, true},
-		"gone and back":    {func(f *FleetState) { f.Apply([]fleet.Fact{deletedAt(7), listedIncarnation(5, 8)}, "store") }, true},
-		"told without one": {func(f *FleetState) { f.MergeAgentReport("10.0.0.1:8000", 5, false, "agent") }, true},
-		"agent of before":  {func(f *FleetState) { f.MergeAgentReport("10.0.0.1:8000", 4, false, "agent") }, true},
-		"a later start":    {func(f *FleetState) { f.Apply([]fleet.Fact{listedIncarnation(6, 7)}, "store") }, false},
-		"its agent hears a later start": {func(f *FleetState) {
+		"nothing":                              {func(*FleetState) {}, true},
+		"entry is written again":               {func(f *FleetState) { f.Apply([]fleet.Fact{listedIncarnation(5, 7)}, "store") }, true},
+		"entry of an earlier incarnation":      {func(f *FleetState) { f.Apply([]fleet.Fact{listedIncarnation(4, 7)}, "store") }, true},
+		"entry is deleted and written again":   {func(f *FleetState) { f.Apply([]fleet.Fact{deletedAt(7), listedIncarnation(5, 8)}, "store") }, true},
+		"agent reports no departure":           {func(f *FleetState) { f.MergeAgentReport("10.0.0.1:8000", 5, false, "agent") }, true},
+		"agent reports an earlier incarnation": {func(f *FleetState) { f.MergeAgentReport("10.0.0.1:8000", 4, false, "agent") }, true},
+		"entry of a later incarnation":         {func(f *FleetState) { f.Apply([]fleet.Fact{listedIncarnation(6, 7)}, "store") }, false},
+		"agent reports a later incarnation": {func(f *FleetState) {
 			f.MergeAgentReport("10.0.0.1:8000", 6, false, "agent")
-			f.MergeDepartures(left, "entry-2")
+			f.MergeDepartures(reported, "entry-2")
 		}, false},
-		"the later start is gone, and back": {func(f *FleetState) {
+		"entry of a later incarnation is deleted and written again": {func(f *FleetState) {
 			f.Apply([]fleet.Fact{listedIncarnation(6, 7), deletedAt(8), listedIncarnation(6, 9)}, "store")
-			f.MergeDepartures(left, "entry-2")
+			f.MergeDepartures(reported, "entry-2")
 		}, false},
-		"the later start leaves too": {func(f *FleetState) {
+		"later incarnation leaves too": {func(f *FleetState) {
 			f.MergeAgentReport("10.0.0.1:8000", 6, false, "agent")
 			f.MergeAgentReport("10.0.0.1:8000", 6, true, "agent")
 		}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			facts := newDeparturesState()
-			facts.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
-			facts.MergeDepartures(left, "entry-2")
-			require.Equal(t, []fleet.ServerID{"a"}, leavingServerIDs(facts))
-			test.meanwhile(facts)
-			require.Equal(t, test.leaves, len(leavingServerIDs(facts)) == 1)
+			fleetState := newDeparturesState()
+			fleetState.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
+			fleetState.MergeDepartures(reported, "entry-2")
+			require.Equal(t, []fleet.ServerID{"a"}, leavingServerIDs(fleetState))
+			test.update(fleetState)
+			require.Equal(t, test.wantLeaving, len(leavingServerIDs(fleetState)) == 1)
 		})
 	}
 }
 
-// While the store is away no entry tells that a server has started again under its id, and an answer does not either.
+// While the store is down, neither an entry nor a response shows that a server has restarted under the same id.
 func TestDepartureAppliesToIncarnationRunningAtResponse(t *testing.T) {
 	for name, test := range map[string]struct {
-		bornBefore time.Duration
-		leaves     bool
+		startedBefore time.Duration
+		wantLeaving   bool
 	}{
-		"long there":    {3 * time.Second, true},
-		"perhaps there": {time.Second, false},
-		"started since": {-5 * time.Second, false},
+		"started well before the response":    {3 * time.Second, true},
+		"started shortly before the response": {time.Second, false},
+		"started after the response":          {-5 * time.Second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			facts := NewFleetState(clock, zerolog.Nop(), NewMetrics())
-			facts.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
-			facts.ObserveDeparture("a", 5, "request 1")
-			born := clock.Now().Add(-test.bornBefore)
+			fleetState := NewFleetState(clock, zerolog.Nop(), NewMetrics())
+			fleetState.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
+			fleetState.ObserveDeparture("a", 5, "request 1")
+			startedAt := clock.Now().Add(-test.startedBefore)
 			clock.Advance(10 * time.Second)
-			facts.Apply([]fleet.Fact{listedIncarnation(member.Incarnation(born.UnixMilli()), 7)}, "store")
-			require.Equal(t, test.leaves, len(leavingServerIDs(facts)) == 1)
+			fleetState.Apply([]fleet.Fact{listedIncarnation(member.Incarnation(startedAt.UnixMilli()), 7)}, "store")
+			require.Equal(t, test.wantLeaving, len(leavingServerIDs(fleetState)) == 1)
 		})
 	}
 }
 
-// The platform of some deployments tells no starts: a server that starts again has another id there.
+// Some platforms do not report incarnations. A server that restarts gets another id there.
 func TestAgentReportWithoutIncarnationIsIgnored(t *testing.T) {
-	facts := newDeparturesState()
-	facts.Apply([]fleet.Fact{listedIncarnation(0, 6)}, "store")
-	facts.MergeAgentReport("10.0.0.1:8000", 0, true, "agent")
-	require.Empty(t, leavingServerIDs(facts))
-	facts.MergeDepartures([]fleet.Departure{{Server: "a"}}, "request 1")
-	require.Equal(t, []fleet.ServerID{"a"}, leavingServerIDs(facts), "an answer names its server")
+	fleetState := newDeparturesState()
+	fleetState.Apply([]fleet.Fact{listedIncarnation(0, 6)}, "store")
+	fleetState.MergeAgentReport("10.0.0.1:8000", 0, true, "agent")
+	require.Empty(t, leavingServerIDs(fleetState))
+	fleetState.MergeDepartures([]fleet.Departure{{Server: "a"}}, "request 1")
+	require.Equal(t, []fleet.ServerID{"a"}, leavingServerIDs(fleetState), "a response identifies its server")
 }
 
-// A word that comes before the entry holds once that is there.
+// A departure that is received before the server's entry applies once the entry is present.
 func TestDepartureBeforeEntryApplies(t *testing.T) {
-	facts := newDeparturesState()
-	facts.MergeDepartures([]fleet.Departure{{Server: "a", Incarnation: 5}}, "entry-2")
-	facts.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
-	require.Equal(t, []fleet.ServerID{"a"}, leavingServerIDs(facts))
+	fleetState := newDeparturesState()
+	fleetState.MergeDepartures([]fleet.Departure{{Server: "a", Incarnation: 5}}, "entry-2")
+	fleetState.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
+	require.Equal(t, []fleet.ServerID{"a"}, leavingServerIDs(fleetState))
 }
 
 func TestDepartureIsReportedOncePerFollower(t *testing.T) {
-	facts := newDeparturesState()
-	facts.MergeDepartures([]fleet.Departure{{Server: "a", Incarnation: 5}, {Server: "b"}}, "entry-2")
-	left, told := facts.DeparturesSince(0)
-	require.Equal(t, []fleet.Departure{{Server: "a", Incarnation: 5}, {Server: "b"}}, departuresFromWire(departuresToWire(left)))
-	facts.MergeDepartures([]fleet.Departure{{Server: "a", Incarnation: 5}}, "entry-3")
-	left, told = facts.DeparturesSince(told)
-	require.Empty(t, left, "it is no news")
-	facts.MergeDepartures([]fleet.Departure{{Server: "a", Incarnation: 6}}, "entry-3")
-	left, _ = facts.DeparturesSince(told)
-	require.Equal(t, []fleet.Departure{{Server: "a", Incarnation: 6}}, left)
+	fleetState := newDeparturesState()
+	fleetState.MergeDepartures([]fleet.Departure{{Server: "a", Incarnation: 5}, {Server: "b"}}, "entry-2")
+	reported, cursor := fleetState.DeparturesSince(0)
+	require.Equal(t, []fleet.Departure{{Server: "a", Incarnation: 5}, {Server: "b"}}, departuresFromWire(departuresToWire(reported)))
+	fleetState.MergeDepartures([]fleet.Departure{{Server: "a", Incarnation: 5}}, "entry-3")
+	reported, cursor = fleetState.DeparturesSince(cursor)
+	require.Empty(t, reported, "a known departure is not reported again")
+	fleetState.MergeDepartures([]fleet.Departure{{Server: "a", Incarnation: 6}}, "entry-3")
+	reported, _ = fleetState.DeparturesSince(cursor)
+	require.Equal(t, []fleet.Departure{{Server: "a", Incarnation: 6}}, reported)
 }
 
-// Servers that are replaced for months must not fill the memory of a box, and none that is listed is forgotten.
+// Replacing servers for months must not exhaust the memory of a box, and departures of listed servers must be
+// kept.
 func TestDeparturesOfUnlistedServersAreBounded(t *testing.T) {
-	facts := newDeparturesState()
-	facts.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
-	facts.MergeDepartures([]fleet.Departure{{Server: "a", Incarnation: 5}}, "request 1")
+	fleetState := newDeparturesState()
+	fleetState.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
+	fleetState.MergeDepartures([]fleet.Departure{{Server: "a", Incarnation: 5}}, "request 1")
 	for i := range 5 * maxDepartures {
-		facts.MergeDepartures([]fleet.Departure{{Server: fleet.ServerID(fmt.Sprintf("gone-%d", i))}}, "entry-2")
+		fleetState.MergeDepartures([]fleet.Departure{{Server: fleet.ServerID(fmt.Sprintf("gone-%d", i))}}, "entry-2")
 	}
-	require.LessOrEqual(t, len(facts.departures.byServer), maxDepartures)
-	require.Equal(t, []fleet.ServerID{"a"}, leavingServerIDs(facts))
-	left, _ := facts.DeparturesSince(0)
-	require.True(t, slices.ContainsFunc(left, func(d fleet.Departure) bool {
+	require.LessOrEqual(t, len(fleetState.departures.byServer), maxDepartures)
+	require.Equal(t, []fleet.ServerID{"a"}, leavingServerIDs(fleetState))
+	reported, _ := fleetState.DeparturesSince(0)
+	require.True(t, slices.ContainsFunc(reported, func(d fleet.Departure) bool {
 		return d.Server == fleet.ServerID(fmt.Sprintf("gone-%d", 5*maxDepartures-1))
 	}))
 }
 
-// An entry box tells it with what it tells anyway, and its receiver takes it from any message.
+// Unreported departures cause a message at once. A different departure count in the summary does not.
 func TestDepartureIsSentWithoutWaitingForHeartbeat(t *testing.T) {
-	told := statusCursor{fullStatus: func() *wire.EntryStatus { return &wire.EntryStatus{} }}
+	cursor := statusCursor{fullStatus: func() *wire.EntryStatus { return &wire.EntryStatus{} }}
 	now := clockwork.NewFakeClock().Now()
-	require.NotNil(t, told.nextMessage(statusSummary{}, nil, nil, now, false))
-	require.Nil(t, told.nextMessage(statusSummary{departures: 1}, nil, nil, now, false), "the message says what is new")
-	require.NotNil(t, told.nextMessage(statusSummary{departures: 1}, nil, nil, now, true))
+	require.NotNil(t, cursor.nextMessage(statusSummary{}, nil, nil, now, false))
+	require.Nil(t, cursor.nextMessage(statusSummary{departures: 1}, nil, nil, now, false), "a departure count alone does not cause a message")
+	require.NotNil(t, cursor.nextMessage(statusSummary{departures: 1}, nil, nil, now, true))
 }
 
-// A server that leaves was ordered to take newer weights, and others waited for its turn.
+// Guards against ordering a leaving server to load newer weights while others wait for its swap window.
 func TestLeavingServerGetsNoNewerWeights(t *testing.T) {
-	facts := newDeparturesState()
+	fleetState := newDeparturesState()
 	engine := &fleet.Engine{Slots: 4, Models: []fleet.ModelName{"m"}, Layers: 1}
-	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{
+	fleetState.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{
 		Version: 1, Services: []fleet.Service{{Name: "llm", Engine: engine}},
 	}}}, "store")
-	facts.Apply([]fleet.Fact{listedIncarnation(5, 6), listedAt("b", "10.0.0.2:8000", 6), publishedFact(2, 7)}, "store")
+	fleetState.Apply([]fleet.Fact{listedIncarnation(5, 6), listedAt("b", "10.0.0.2:8000", 6), publishedFact(2, 7)}, "store")
 	l := &Loader{
-		options:   LoaderOptions{Clock: clockwork.NewFakeClock(), Log: zerolog.Nop(), FleetState: facts, Service: "llm", Address: "10.0.0.1:8000"},
+		options:   LoaderOptions{Clock: clockwork.NewFakeClock(), Log: zerolog.Nop(), FleetState: fleetState, Service: "llm", Address: "10.0.0.1:8000"},
 		downloads: make(map[fleet.WeightsVersion]*versionDownload), changed: make(chan struct{}), incarnation: 5,
 	}
-	facts.MergeDepartures([]fleet.Departure{{Server: "a", Incarnation: 5}}, "entry-1")
-	want, known := l.target()
+	fleetState.MergeDepartures([]fleet.Departure{{Server: "a", Incarnation: 5}}, "entry-1")
+	target, known := l.target()
 	require.True(t, known)
-	l.reconcile(t.Context(), &want, 1)
-	require.Empty(t, l.downloads, "nothing is fetched")
+	l.reconcile(t.Context(), &target, 1)
+	require.Empty(t, l.downloads, "nothing is downloaded")
 	l.incarnation = 0
-	require.False(t, l.isLeaving(), "it may be the one that had the address before")
+	require.False(t, l.isLeaving(), "the departure may belong to the server that had the address before")
 	l.leaving = true
-	require.True(t, l.isLeaving(), "by its own word")
-	place, _ := l.swapPosition(&want, 2)
-	require.Equal(t, 1, place, "behind those that stay")
+	require.True(t, l.isLeaving(), "the server has announced its departure to the agent")
+	position, _ := l.swapPosition(&target, 2)
+	require.Equal(t, 1, position, "a leaving server comes after the others")
 	l.options.Address = "10.0.0.2:8000"
-	place, servers := l.swapPosition(&want, 2)
-	require.Equal(t, 0, place)
-	require.Equal(t, 1, servers, "the other one is swapped as if it were alone")
+	position, servers := l.swapPosition(&target, 2)
+	require.Equal(t, 0, position)
+	require.Equal(t, 1, servers, "a leaving server is not counted for the others")
 }
--- a/internal/direct/entryfollower.go
+++ b/internal/direct/entryfollower.go
@@ -13,8 +13,8 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// entryFollower keeps an agent's facts in step with one entry box, and goes to
-// another one when that falls silent.
+// entryFollower keeps an agent's facts up to date from one entry box. It switches to another one when the stream
+// ends or becomes silent.
 type entryFollower struct {
 	fleetState *FleetState
 	suspects   *SuspectRequests
@@ -22,20 +22,21 @@
 	self       string
 	region     string
 	seeds      []string
-	// candidates are entry boxes that one of them has told, of which one is followed. The agents
-	// would all stay with the few of the settings otherwise.
+	// candidates are addresses of entry boxes that an entry box reported; the agent follows one of them. Otherwise
+	// all agents would stay with the few entry boxes in the settings.
 	candidates []string
-	// leftSeed is set once one of the settings has been left for one that was told.
+	// leftSeed is set when the agent first follows a seed, an entry box from the settings, which it leaves
+	// after seedFollowDuration.
 	leftSeed bool
-	// lastLogged is when the log last named each entry box that could not be asked for others.
+	// lastLogged is when a failed discovery from each seed was last logged.
 	lastLogged map[string]time.Time
 }
 
-// seedFollowDuration is after how long an agent leaves the entry box of the settings that it started
-// with: hundreds of boxes that start at one moment know each other by then.
+// seedFollowDuration is how long an agent follows the seed that it started with. By then, hundreds of boxes that
+// start at the same moment know each other.
 const seedFollowDuration = 3 * time.Second
 
-// startEntryFollower follows an entry box.
+// startEntryFollower starts to follow an entry box.
 func (p *Process) startEntryFollower() error {
 	if err := p.newFleetState(); err != nil {
 		return err
@@ -48,45 +49,44 @@
 	return nil
 }
 
-// pickCandidate returns the address to follow, drawn from those that were told; ok is false if none
-// was, or none is left.
+// pickCandidate removes a random candidate and returns its address. ok is false if there is no candidate.
 func (f *entryFollower) pickCandidate() (entry string, ok bool) {
 	if len(f.candidates) == 0 {
 		return "", false
 	}
-	at := rand.IntN(len(f.candidates))
-	entry = f.candidates[at]
-	f.candidates = slices.Delete(f.candidates, at, at+1)
+	i := rand.IntN(len(f.candidates))
+	entry = f.candidates[i]
+	f.candidates = slices.Delete(f.candidates, i, i+1)
 	return entry, true
 }
 
-// discover asks the entry boxes of the settings, in a random order, for others.
+// discover queries the seeds in a random order for other entry boxes.
 func (f *entryFollower) discover(ctx context.Context) {
-	for _, at := range rand.Perm(len(f.seeds)) {
+	for _, i := range rand.Perm(len(f.seeds)) {
 		callCtx, cancel := clockwork.WithTimeout(ctx, f.fleetState.clock, discoveryTimeout)
-		entries, err := f.discoverFrom(callCtx, f.seeds[at])
+		entries, err := f.discoverFrom(callCtx, f.seeds[i])
 		cancel()
 		if err != nil && ctx.Err() == nil {
-			f.logDiscoveryError(f.seeds[at], err)
+			f.logDiscoveryError(f.seeds[i], err)
 		}
 		if err == nil && len(entries) > 0 {
 			f.candidates = entries
 			return
 		}
 	}
-	// A seed that knows of none that is ready may still have facts.
+	// A seed that knows no ready entry box may still have facts.
 	f.candidates = slices.Clone(f.seeds)
 }
 
-// discoveryTimeout bounds asking an entry box for others: many round trips, and a small part of the
-// time in which a change must reach the agents.
+// discoveryTimeout limits one query for other entry boxes. It allows many round trips, and is a small part of the
+// time within which a change must reach the agents.
 const discoveryTimeout = 500 * time.Millisecond
 
-// discoveryLogInterval is how often at most the log names one entry box that can't be asked: while none
-// answers, each is asked several times a second.
+// discoveryLogInterval is the minimum time between two log lines about failed discovery from the same seed. While
+// no seed responds, each is queried several times a second.
 const discoveryLogInterval = 10 * time.Second
 
-// logDiscoveryError logs why an entry box could not be asked for others.
+// logDiscoveryError logs why discovery from a seed failed.
 func (f *entryFollower) logDiscoveryError(seed string, err error) {
 	now := f.fleetState.clock.Now()
 	if last, ok := f.lastLogged[seed]; ok && now.Sub(last) < discoveryLogInterval {
@@ -123,18 +123,18 @@
 	}
 }
 
-// follow keeps step with one entry box until its stream ends.
+// follow merges the messages of one entry box until its stream ends.
 func (f *entryFollower) follow(ctx context.Context, entry string) {
 	followCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	isMoving := !f.leftSeed && slices.Contains(f.seeds, entry)
 	if isMoving {
-		// Many others started at the same moment, and the seed did not know of them yet.
+		// Many agents start at the same moment, when the seed does not know the other entry boxes yet.
 		f.leftSeed = true
 		timer := f.fleetState.clock.AfterFunc(seedFollowDuration, cancel)
 		defer timer.Stop()
 	}
-	// How the stream ended is in the log, and of no other use.
+	// followStream logs how the stream ended.
 	_, _ = followStream(followCtx, f.fleetState.clock, f.peers, f.fleetState.log, &peerStream[*wire.FactsBatch]{
 		dependency: "entry", address: member.Address(entry),
 		open: func(ctx context.Context, client wire.DRPCFleetClient) (func() (*wire.FactsBatch, error), error) {
@@ -148,9 +148,10 @@
 	})
 }
 
-// applyBatch takes facts, and whom else they can be had of unless that is to be asked anew.
+// applyBatch merges a batch of facts. It also keeps the other entry boxes in the batch as candidates, unless the
+// agent leaves this one soon and will run discovery again.
 func (f *entryFollower) applyBatch(batch *wire.FactsBatch, entry string, isMoving bool) {
-	// The ages first: a name without one counts as an old one.
+	// Ages are merged before facts, because a version without an age gets the assumed age.
 	f.fleetState.MergeVersionAges(agesFromWire(batch.Ages), entry)
 	f.fleetState.ApplyItems(itemsFromWire(batch.Items), entry)
 	f.fleetState.MergeDepartures(departuresFromWire(batch.Departures), entry)
--- a/internal/direct/entryfollower_test.go
+++ b/internal/direct/entryfollower_test.go
@@ -14,7 +14,7 @@
 	"github.com/cinderslip/cinderslip/internal/daemon"
 )
 
-// closedAddress returns an address at which nothing listens.
+// closedAddress returns an address without a listener.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,22 +30,22 @@
 	follower := &entryFollower{
 		suspects: noSuspectRequests(), fleetState: NewFleetState(clock, zerolog.New(&log), NewMetrics()), peers: daemon.NewPeerPool(), seeds: seeds, lastLogged: make(map[string]time.Time),
 	}
-	lines := func() []string {
+	discoverAndReadLog := func() []string {
 		log.Reset()
 		follower.discover(t.Context())
-		require.ElementsMatch(t, seeds, follower.candidates, "those of the settings are followed all the same")
+		require.ElementsMatch(t, seeds, follower.candidates, "the seeds are followed anyway")
 		return strings.Split(strings.TrimSpace(log.String()), "\n")
 	}
-	first := lines()
+	first := discoverAndReadLog()
 	require.Len(t, first, len(seeds))
 	for _, seed := range seeds {
 		require.Equal(t, 1, strings.Count(strings.Join(first, ""), `"address":"`+seed+`"`))
 	}
 	for _, line := range first {
-		require.Contains(t, line, "cannot connect", "the reason")
+		require.Contains(t, line, "cannot connect", "the cause")
 	}
 	clock.Advance(discoveryLogInterval - time.Millisecond)
-	require.Equal(t, []string{""}, lines())
+	require.Equal(t, []string{""}, discoverAndReadLog())
 	clock.Advance(time.Millisecond)
-	require.Len(t, lines(), len(seeds))
+	require.Len(t, discoverAndReadLog(), len(seeds))
 }
--- a/internal/direct/fleetstate.go
+++ b/internal/direct/fleetstate.go
@@ -20,29 +20,29 @@
 )
 
 const (
-	// expiryDeferral is how long a server stays believed whose entry went while the
-	// store was away: entries of servers that live are back within two seconds.
+	// expiryDeferral is how long the deletion of a server's entry is deferred if the entry expired during an
+	// outage of the store. Running servers write their entries again within two seconds.
 	expiryDeferral = 2200 * time.Millisecond
-	// minExpiryOutage is how long the store must have been away for entries to have lapsed
-	// meanwhile: they last for several heartbeats, which come every second or so.
+	// minExpiryOutage is the shortest outage of the store in which entries can expire. Entries last for several
+	// heartbeats, and heartbeats are about a second apart.
 	minExpiryOutage = 1400 * time.Millisecond
-	// expiryDeferralWindow is how long after the store's return entries may still be found
-	// to have lapsed meanwhile.
+	// expiryDeferralWindow is how long after the store's recovery deletions may still come from entries that
+	// expired during the outage.
 	expiryDeferralWindow = 1500 * time.Millisecond
-	// minAssumedAge is how long before its start a process takes weights to have been named at
-	// least that were there already.
+	// minAssumedAge is the minimum age that a process assumes for versions of weights that were published before
+	// it started.
 	minAssumedAge = 5 * time.Second
 )
 
-// assumedAgeAtStart is how long before its start a process takes weights to have been named that were
-// there already, as it can't know if all were killed. What remains of the bound passes before the
-// process is settled: with a fixed age and a bound of 30 s it would begin requests on older
-// weights for 24 s.
+// assumedAgeAtStart returns the age that a process assumes for versions of weights that were published before it
+// started. The true age is unknown, as all processes may have been killed at once. The rest of the version bound
+// passes before the process is settled. With a fixed age and a bound of 30 s, a process would start requests on
+// older weights for 24 s.
 func assumedAgeAtStart(bound, settle time.Duration) time.Duration {
 	return max(minAssumedAge, bound-settle)
 }
 
-// FleetState keeps what the platform's store and other boxes tell.
+// FleetState merges the facts of the platform's store and the state reported by other processes.
 type FleetState struct {
 	clock   clockwork.Clock
 	log     zerolog.Logger
@@ -50,42 +50,40 @@
 	store   *state.Store
 	view    atomic.Pointer[fleet.View]
 	tasks   *kernel.TaskGroup
-	// assumedAge is how long before its start the process takes weights to have been named that
-	// were there already.
+	// assumedAge is the age assumed for versions of weights that were published before the process started.
 	assumedAge time.Duration
 
 	mu sync.Mutex
 	// changed is closed when the view changes.
 	changed chan struct{}
 	servers map[fleet.ServerID]serverEntry
-	// departures are what servers have said in their answers of their end.
+	// departures are the departures that servers have announced in their responses.
 	departures departures
-	// rateLimits are the rate limits that servers have advertised in their answers.
+	// rateLimits are the rate limits that servers have advertised in their responses.
 	rateLimits rateLimits
 	published  map[fleet.ModelName]fleet.PublishedVersions
-	// ageChanges goes up with each version that is heard of and each age that is corrected.
+	// ageChanges counts the new versions and the corrected ages.
 	ageChanges int
-	// newest is the newest revision of any fact, complete the one up to which all were read,
-	// those included that are held back.
+	// newest is the newest revision of any fact. complete is the revision up to which all facts were read,
+	// including deferred ones.
 	newest, complete fleet.Revision
-	// deferred are the deletions that are held back, by key.
+	// deferred are the revisions of the deferred deletions, by key.
 	deferred map[string]fleet.Revision
-	// unreadableEntries is what was wrong with the entries that could not be read, by key.
+	// unreadableEntries are the errors of the entries that could not be read, by key.
 	unreadableEntries map[string]string
-	// unconfigured are the services of entries that the configuration does not name.
+	// unconfigured are the services that have entries but are not in the configuration.
 	unconfigured map[member.Service]bool
-	// storeResponded is when the store last answered; zero if it never did.
+	// storeResponded is the time of the store's last response, or zero if there was none.
 	storeResponded time.Time
-	// downSince is when the first of the calls began that the store has not answered since,
-	// failures how many they are; zero while it answers.
+	// downSince is the start of the first failed call since the store's last response, and failedCalls is the
+	// number of failed calls since then. Both are zero while the store responds.
 	downSince   time.Time
 	failedCalls int
-	// recoveredAt is when the store answered after it had been away for so long that entries
-	// may have lapsed.
+	// recoveredAt is when the store last responded after an outage in which entries may have expired.
 	recoveredAt time.Time
 }
 
-// NewFleetState returns facts that know nothing yet.
+// NewFleetState returns a FleetState without any facts.
 func NewFleetState(clock clockwork.Clock, log zerolog.Logger, metrics *Metrics) *FleetState {
 	f := &FleetState{
 		clock: clock, log: log, metrics: metrics, assumedAge: minAssumedAge,
@@ -103,10 +101,10 @@
 // String returns the service's name.
 func (f *FleetState) String() string { return "facts" }
 
-// Stop ends reading.
+// Stop stops all reads of the store and of other processes.
 func (f *FleetState) Stop(ctx context.Context) error { return f.tasks.Stop(ctx) }
 
-// View returns what is believed now.
+// View returns the current view.
 func (f *FleetState) View() *fleet.View { return f.view.Load() }
 
 // Changed returns a channel that is closed at the next change of the view.
@@ -116,39 +114,39 @@
 	return f.changed
 }
 
-// Watermarks is how far the changes of the platform's store are known.
+// Watermarks are the revisions of the platform's store up to which its changes are known.
 type Watermarks struct {
-	// Newest is the newest revision of which anything is known.
+	// Newest is the newest revision of any known fact.
 	Newest fleet.Revision
-	// Complete is the revision up to which everything is known. Deletions that are held
-	// back come after it, so that they are asked of another box that knows better.
+	// Complete is the revision up to which every change is known. It is older than every deferred deletion, so
+	// that the deletion is requested from a box that has applied it.
 	Complete fleet.Revision
 }
 
-// isBehind reports whether another process knows something that this one does not.
-func (e Watermarks) isBehind(other Watermarks) bool {
-	return other.Newest > e.Newest || other.Complete > e.Complete
+// isBehind reports whether another process knows a change that this one does not know.
+func (w Watermarks) isBehind(other Watermarks) bool {
+	return other.Newest > w.Newest || other.Complete > w.Complete
 }
 
-// Watermarks returns how far the changes of the platform's store are known.
+// Watermarks returns the revisions up to which the changes of the platform's store are known.
 func (f *FleetState) Watermarks() Watermarks {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	complete := min(f.newest, f.complete)
-	for _, held := range f.deferred {
-		complete = min(complete, held-1)
+	for _, revision := range f.deferred {
+		complete = min(complete, revision-1)
 	}
 	return Watermarks{Newest: f.newest, Complete: complete}
 }
 
-// MarkComplete notes that everything up to a revision was read.
+// MarkComplete records that every change up to a revision was read.
 func (f *FleetState) MarkComplete(revision fleet.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.complete = max(f.complete, revision)
 }
 
-// StoreResponseAge returns how long ago the store answered; negative if it never did.
+// StoreResponseAge returns the time since the store's last response, or a negative value if there was none.
 func (f *FleetState) StoreResponseAge() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -158,26 +156,26 @@
 	return f.clock.Since(f.storeResponded)
 }
 
-// StoreRespondedAt returns when the store last answered; zero if it never did.
+// StoreRespondedAt returns the time of the store's last response, or zero if there was none.
 func (f *FleetState) StoreRespondedAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.storeResponded
 }
 
-// isStoreDown reports whether the store has not answered the last call.
+// isStoreDown reports whether the last call of the store failed.
 func (f *FleetState) isStoreDown() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.downSince.IsZero()
 }
 
-// noteStoreFailure notes a call that was not answered, or not in time.
-func (f *FleetState) noteStoreFailure(call string, began time.Time, err error) {
+// noteStoreFailure records a call of the store that failed or is overdue.
+func (f *FleetState) noteStoreFailure(call string, startedAt time.Time, err error) {
 	f.mu.Lock()
 	first := f.downSince.IsZero()
 	if first {
-		f.downSince = began
+		f.downSince = startedAt
 	}
 	f.failedCalls++
 	f.mu.Unlock()
@@ -189,47 +187,47 @@
 func (f *FleetState) noteStoreResponse() {
 	f.mu.Lock()
 	now := f.clock.Now()
-	regained, away, failures := !f.downSince.IsZero(), now.Sub(f.downSince), f.failedCalls
+	recovered, outage, failures := !f.downSince.IsZero(), now.Sub(f.downSince), f.failedCalls
 	f.storeResponded, f.downSince, f.failedCalls = now, time.Time{}, 0
-	if regained && away >= minExpiryOutage {
+	if recovered && outage >= minExpiryOutage {
 		f.recoveredAt = now
 	}
 	f.mu.Unlock()
-	if regained {
-		f.log.Info().Str("dependency", "store").Dur("away_ms", away).Int("failures", failures).Msg("dependency regained")
+	if recovered {
+		f.log.Info().Str("dependency", "store").Dur("away_ms", outage).Int("failures", failures).Msg("dependency regained")
 	}
 }
 
-// deferExpired takes out the entries of servers that went while the store was away,
-// and applies them later: an entry that is back by then is newer.
+// deferExpired removes deletions of servers' entries that may have expired during an outage of the store, and
+// applies them after expiryDeferral. An entry that is written again by then is newer and outlives its deletion.
 func (f *FleetState) deferExpired(facts []fleet.Fact) []fleet.Fact {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.recoveredAt.IsZero() || f.clock.Since(f.recoveredAt) >= expiryDeferralWindow {
 		return facts
 	}
-	var now, later []fleet.Fact
+	var immediate, deferred []fleet.Fact
 	for _, fact := range facts {
 		id := fleet.ServerID(strings.TrimPrefix(fact.Key, fleet.ServerKey("")))
 		if server, known := f.servers[id]; fact.Deleted && known && !server.Leaving && server.revision < fact.Revision {
-			later = append(later, fact)
+			deferred = append(deferred, fact)
 			f.deferred[fact.Key] = fact.Revision
 			f.log.Info().Str("server", string(id)).Uint64("revision", uint64(fact.Revision)).
 				Dur("hold_ms", expiryDeferral).Msg("server's entry went while the store was away, held")
 			continue
 		}
-		now = append(now, fact)
+		immediate = append(immediate, fact)
 	}
-	if len(later) > 0 {
+	if len(deferred) > 0 {
 		f.clock.AfterFunc(expiryDeferral, func() {
-			f.Apply(later, "store")
-			f.clearDeferred(later)
+			f.Apply(deferred, "store")
+			f.clearDeferred(deferred)
 		})
 	}
-	return now
+	return immediate
 }
 
-// clearDeferred ends holding back deletions.
+// clearDeferred ends the deferral of deletions.
 func (f *FleetState) clearDeferred(facts []fleet.Fact) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -241,32 +239,32 @@
 	f.metrics.observeView(f.View(), f.newest, len(f.deferred))
 }
 
-// impliedDeletions returns the facts that are held but no longer in the store.
-func (f *FleetState) impliedDeletions(got provider.FactBatch) []fleet.Fact {
-	present := make(map[string]bool, len(got.Facts))
-	for i := range got.Facts {
-		present[got.Facts[i].Key] = true
+// impliedDeletions returns deletions of the known facts that are missing from a snapshot of the store.
+func (f *FleetState) impliedDeletions(snapshot provider.FactBatch) []fleet.Fact {
+	present := make(map[string]bool, len(snapshot.Facts))
+	for i := range snapshot.Facts {
+		present[snapshot.Facts[i].Key] = true
 	}
-	var gone []fleet.Fact
+	var deleted []fleet.Fact
 	for _, item := range f.store.Prefix("") {
 		if !present[item.Key] && !item.Deleted {
-			gone = append(gone, fleet.Fact{Key: item.Key, Revision: got.Revision, Deleted: true})
+			deleted = append(deleted, fleet.Fact{Key: item.Key, Revision: snapshot.Revision, Deleted: true})
 		}
 	}
-	return gone
+	return deleted
 }
 
-// Apply merges facts that were read from the store as they were written. Older ones than those
-// held change nothing.
+// Apply merges facts that were read from the store when they were written. Facts older than the known ones change
+// nothing.
 func (f *FleetState) Apply(facts []fleet.Fact, from string) { f.merge(f.itemsOf(facts), from, true) }
 
-// itemsOf returns facts in their replicated form.
+// itemsOf returns facts in their replicated form. It logs and skips facts that cannot be encoded.
 func (f *FleetState) itemsOf(facts []fleet.Fact) []state.Item {
 	items := make([]state.Item, 0, len(facts))
 	for i := range facts {
 		item, err := facts[i].Item()
 		if err != nil {
-			f.log.Error().Str("fact", facts[i].Key).Err(err).Msg("fact not taken")
+			f.log.Error().Str("fact", facts[i].Key).Err(err).Msg("skipping a fact that cannot be encoded")
 			continue
 		}
 		items = append(items, item)
@@ -274,69 +272,69 @@
 	return items
 }
 
-// ApplyInitial is Apply for the first reading of the store: what is there was written at any time
-// before, also if another process has told a configuration meanwhile.
+// ApplyInitial merges the facts of the first read of the store. These may have been written at any earlier time,
+// even if another process has already reported a configuration.
 func (f *FleetState) ApplyInitial(facts []fleet.Fact, from string) {
 	f.merge(f.itemsOf(facts), from, false)
 }
 
-// maxItemsLogged is how many servers' entries have a log line each when they come together. A process
-// that starts hears of thousands at once, and so does each of thousands.
+// maxItemsLogged is the number of servers' entries in one batch up to which each is logged. A process that starts
+// receives thousands at once, and so does each of thousands of processes.
 const maxItemsLogged = 16
 
-// ApplyItems merges facts that another process tells, in their replicated form.
+// ApplyItems merges facts in their replicated form, as another process reports them.
 func (f *FleetState) ApplyItems(items []state.Item, from string) { f.merge(items, from, false) }
 
-// merge merges facts. Witnessed is set if they were read from the store as they were written.
-func (f *FleetState) merge(items []state.Item, from string, witnessed bool) {
-	// What is believed follows the order in which the store takes facts: of two entries that
-	// came at the same moment the older one was believed for good.
+// merge merges facts. observed is set if they were read from the store when they were written.
+func (f *FleetState) merge(items []state.Item, from string, observed bool) {
+	// The lock is held from the update of the store to that of the view, so that both apply facts in the same
+	// order. Otherwise the older of two concurrent entries could stay in the view permanently.
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	fresh := f.store.Apply(items, state.OriginLocal)
-	if len(fresh) == 0 {
+	applied := f.store.Apply(items, state.OriginLocal)
+	if len(applied) == 0 {
 		return
 	}
 	log := f.log
-	if len(fresh) > maxItemsLogged {
-		f.log.Info().Int("facts", len(fresh)).Str("from", from).Msg("many facts taken")
+	if len(applied) > maxItemsLogged {
+		f.log.Info().Int("facts", len(applied)).Str("from", from).Msg("merged many facts; individual servers are not logged")
 		log = f.log.Level(zerolog.WarnLevel)
 	}
 	view := f.View()
-	// What comes before any configuration was there when the process started.
-	witnessed = witnessed && view.Configuration != nil
-	servers, wanted := false, false
-	for _, item := range fresh {
+	// Versions that are received before the first configuration were published before the process started.
+	observed = observed && view.Configuration != nil
+	serversChanged, versionsChanged := false, false
+	for _, item := range applied {
 		delete(f.deferred, item.Key)
 		f.newest = max(f.newest, fleet.Revision(item.Version.Major))
 		fact, err := fleet.ParseFact(item)
 		if err != nil {
-			f.log.Error().Str("fact", item.Key).Err(err).Msg("fact not taken")
+			f.log.Error().Str("fact", item.Key).Err(err).Msg("skipping a fact that cannot be decoded")
 			continue
 		}
 		switch {
 		case fact.Configuration != nil:
 			view = f.applyConfiguration(view, &fact, from)
-			// Whether a service is named there decides whether its servers are believed.
-			servers = true
+			// The configuration decides which services' servers are in the view.
+			serversChanged = true
 		case strings.HasPrefix(fact.Key, fleet.ServerKey("")):
 			f.applyServer(&fact, from, &log)
-			servers = true
+			serversChanged = true
 		case strings.HasPrefix(fact.Key, fleet.DesiredKey("")):
-			f.applyDesired(&fact, from, witnessed)
-			wanted = true
+			f.applyDesired(&fact, from, observed)
+			versionsChanged = true
 		}
 	}
-	if servers {
+	if serversChanged {
 		view = view.WithServers(f.currentServers(view.Configuration))
 	}
-	if wanted {
+	if versionsChanged {
 		view = view.WithPublishedVersions(maps.Clone(f.published))
 	}
 	f.setView(view)
 }
 
-// setView makes a view the one that is believed. The lock must be held.
+// setView replaces the current view. The lock must be held.
 func (f *FleetState) setView(view *fleet.View) {
 	f.view.Store(view)
 	f.metrics.observeView(view, f.newest, len(f.deferred))
@@ -345,27 +343,27 @@
 }
 
 func (f *FleetState) applyConfiguration(view *fleet.View, fact *fleet.Fact, from string) *fleet.View {
-	held := view.Configuration
-	if held != nil && fact.Configuration.Version < held.Version {
-		f.log.Error().Uint64("version", fact.Configuration.Version).Uint64("held", held.Version).Msg("older configuration at a newer revision not taken")
+	current := view.Configuration
+	if current != nil && fact.Configuration.Version < current.Version {
+		f.log.Error().Uint64("version", fact.Configuration.Version).Uint64("held", current.Version).Msg("ignoring an older configuration at a newer revision")
 		return view
 	}
 	f.log.Info().Uint64("version", fact.Configuration.Version).Uint64("revision", uint64(fact.Revision)).Str("from", from).
 		Int("routes", len(fact.Configuration.Routes)).Int("organisations", len(fact.Configuration.Organisations)).Msg("configuration in force")
-	if unread := fact.Configuration.Unreadable; unread != (fleet.UnreadableParts{}) {
-		f.log.Error().Uint64("version", fact.Configuration.Version).Bool("routes", unread.Routes).Bool("services", unread.Services).
-			Bool("organisations", unread.Organisations).Bool("limits", unread.Limits).Msg("parts of the configuration that can't be read stay as they were")
+	if unreadable := fact.Configuration.Unreadable; unreadable != (fleet.UnreadableParts{}) {
+		f.log.Error().Uint64("version", fact.Configuration.Version).Bool("routes", unreadable.Routes).Bool("services", unreadable.Services).
+			Bool("organisations", unreadable.Organisations).Bool("limits", unreadable.Limits).Msg("parts of the configuration that can't be read stay as they were")
 	}
-	return view.WithConfiguration(fact.Configuration.WithFallback(held), fact.Revision)
+	return view.WithConfiguration(fact.Configuration.WithFallback(current), fact.Revision)
 }
 
-// logFindings logs what is wrong with entries, once for each as long as it stays: an entry
-// is read again whenever its writer repeats it.
-func (f *FleetState) logFindings(findings []*provider.EntryError, whole bool) {
+// logFindings logs the errors of entries. Each error is logged once while it stays the same, as an entry is read
+// again whenever its writer repeats it.
+func (f *FleetState) logFindings(findings []*provider.EntryError, isSnapshot bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known := f.unreadableEntries
-	if whole {
+	if isSnapshot {
 		f.unreadableEntries = make(map[string]string, len(findings))
 	}
 	for _, finding := range findings {
@@ -379,35 +377,35 @@
 	}
 }
 
-// maxUnreadableEntries bounds the entries that are remembered as not readable: somebody who fills the
-// store with them must not fill the memory of each box.
+// maxUnreadableEntries bounds the unreadable entries that are remembered, so that a writer that fills the store
+// with them cannot exhaust the memory of each box.
 const maxUnreadableEntries = 1024
 
-// applyDesired takes the name of a version. When it was named is known to a witness alone: a process
-// that takes the moment at which another one told it for that would replace the guesses of all that have
-// just started, and older weights would begin requests for too long.
-func (f *FleetState) applyDesired(fact *fleet.Fact, from string, witnessed bool) {
+// applyDesired adds a published version. Only a process that observed the publication knows its time. If a process
+// took the time at which another one reported the version instead, it would replace the assumed ages of all
+// processes that have just started, and requests would start on older weights for too long.
+func (f *FleetState) applyDesired(fact *fleet.Fact, from string, observed bool) {
 	if fact.Desired == nil {
 		return
 	}
 	model := fact.Desired.Model
-	named := f.published[model]
-	if len(named) > 0 && fact.Desired.Version <= named.Newest().Version {
+	published := f.published[model]
+	if len(published) > 0 && fact.Desired.Version <= published.Newest().Version {
 		return
 	}
-	since := f.clock.Now()
-	if !witnessed {
-		since = since.Add(-f.assumedAge)
+	publishedAt := f.clock.Now()
+	if !observed {
+		publishedAt = publishedAt.Add(-f.assumedAge)
 	}
 	f.ageChanges++
-	f.published[model] = named.With(fleet.PublishedVersion{
-		Version: fact.Desired.Version, Revision: fact.Revision, PublishedAt: since, Observed: witnessed,
+	f.published[model] = published.With(fleet.PublishedVersion{
+		Version: fact.Desired.Version, Revision: fact.Revision, PublishedAt: publishedAt, Observed: observed,
 	})
-	f.log.Info().Str("model", string(model)).Uint64("version", uint64(fact.Desired.Version)).Dur("age_ms", f.clock.Since(since)).
-		Bool("witnessed", witnessed).Uint64("revision", uint64(fact.Revision)).Str("from", from).Msg("weights wanted")
+	f.log.Info().Str("model", string(model)).Uint64("version", uint64(fact.Desired.Version)).Dur("age_ms", f.clock.Since(publishedAt)).
+		Bool("witnessed", observed).Uint64("revision", uint64(fact.Revision)).Str("from", from).Msg("weights wanted")
 }
 
-// sleep waits, at most until the context ends.
+// sleep waits for a duration, or until the context ends.
 func sleep(ctx context.Context, clock clockwork.Clock, wait time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -423,6 +421,5 @@
 	return p.services.Register(p.fleetState)
 }
 
-// startFleetState makes the facts of an entry box, which are read once the other
-// entry boxes can be asked too.
+// startFleetState creates the fleet state of an entry box. It is filled once other entry boxes can be queried too.
 func (p *Process) startFleetState() error { return p.newFleetState() }
--- a/internal/direct/fleetstate_test.go
+++ b/internal/direct/fleetstate_test.go
@@ -17,15 +17,15 @@
 	"github.com/cinderslip/cinderslip/pkg/state"
 )
 
-// scriptedStore answers calls one after the other.
+// scriptedStore returns prepared responses in order.
 type scriptedStore struct {
-	answers []func() (provider.FactBatch, error)
+	responses []func() (provider.FactBatch, error)
 }
 
 func (s *scriptedStore) next() (provider.FactBatch, error) {
-	answer := s.answers[0]
-	s.answers = s.answers[1:]
-	return answer()
+	respond := s.responses[0]
+	s.responses = s.responses[1:]
+	return respond()
 }
 
 func (s *scriptedStore) source() provider.FactSource {
@@ -54,26 +54,26 @@
 	return fleet.Fact{Key: fleet.ServerKey(id), Revision: revision, Server: &fleet.Server{ID: id, Service: "llm", Address: address, Slots: 1}}
 }
 
-// outage is a store that answers, refuses for longer than entries last, and answers again.
+// outage returns the responses of a store that responds, fails for longer than entries last, and responds again.
 func outage(before func() (provider.FactBatch, error), after ...func() (provider.FactBatch, error)) []func() (provider.FactBatch, error) {
 	calls := int(2*minExpiryOutage/minProbeInterval) + 1
-	away := slices.Repeat([]func() (provider.FactBatch, error){returnsError(provider.ErrUnavailable)}, calls)
-	return slices.Concat([]func() (provider.FactBatch, error){before}, away, after)
+	failures := slices.Repeat([]func() (provider.FactBatch, error){returnsError(provider.ErrUnavailable)}, calls)
+	return slices.Concat([]func() (provider.FactBatch, error){before}, failures, after)
 }
 
-// deleted is the deletion of server a at revision 7.
+// deleted returns the deletion of server a at revision 7.
 func deleted() fleet.Fact { return fleet.Fact{Key: fleet.ServerKey("a"), Revision: 7, Deleted: true} }
 
-// replayStore reads the store until all answers are given. Waits are passed over; it runs in a
-// synctest bubble, so that no answer is overdue because the machine is busy.
-func replayStore(t *testing.T, clock *clockwork.FakeClock, facts *FleetState, answers ...func() (provider.FactBatch, error)) {
+// replayStore reads the store until all responses are used. It advances the clock over waits, and must run in a
+// synctest bubble so that a busy machine cannot make a response overdue.
+func replayStore(t *testing.T, clock *clockwork.FakeClock, fleetState *FleetState, responses ...func() (provider.FactBatch, error)) {
 	t.Helper()
-	store := &scriptedStore{answers: answers}
+	store := &scriptedStore{responses: responses}
 	reader := &storeReader{
-		fleetState: facts, source: store.source(),
+		fleetState: fleetState, source: store.source(),
 		intervals: testIntervals, shouldRead: func() bool { return true }, probeInterval: func() time.Duration { return minProbeInterval },
 	}
-	for len(store.answers) > 0 {
+	for len(store.responses) > 0 {
 		done := make(chan struct{})
 		go func() {
 			reader.readOnce(context.Background())
@@ -102,53 +102,53 @@
 
 func TestExpiredEntryIsDeferredAfterStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts, clock := newTestFleetState()
-		replayStore(t, clock, facts, outage(returnsFacts(5, listed("a", 3)), returnsFacts(7, deleted()))...)
-		require.Len(t, facts.View().Servers("llm"), 1)
-		require.Less(t, facts.Watermarks().Complete, fleet.Revision(7), "what is held back must not count as known")
+		fleetState, clock := newTestFleetState()
+		replayStore(t, clock, fleetState, outage(returnsFacts(5, listed("a", 3)), returnsFacts(7, deleted()))...)
+		require.Len(t, fleetState.View().Servers("llm"), 1)
+		require.Less(t, fleetState.Watermarks().Complete, fleet.Revision(7), "a deferred deletion must not count as known")
 		clock.Advance(expiryDeferral)
-		require.Eventually(t, func() bool { return len(facts.View().Servers("llm")) == 0 }, 10*time.Second, time.Millisecond)
-		require.Eventually(t, func() bool { return facts.Watermarks() == Watermarks{Newest: 7, Complete: 7} }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return len(fleetState.View().Servers("llm")) == 0 }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return fleetState.Watermarks() == Watermarks{Newest: 7, Complete: 7} }, 10*time.Second, time.Millisecond)
 	})
 }
 
-// A call that fails, or a connection that falls silent, is no outage in which entries lapse:
-// a server that leaves just then must get nothing new after two seconds.
+// A single failed call, or a connection that fails silently, must not count as an outage in which entries expire.
+// A server that leaves at that moment must get no new requests after two seconds.
 func TestDeletionAfterSingleFailedCallIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts, clock := newTestFleetState()
-		replayStore(t, clock, facts, returnsFacts(5, listed("a", 3)), returnsError(provider.ErrUnavailable), returnsFacts(7, deleted()))
-		require.Empty(t, facts.View().Servers("llm"))
-		require.Equal(t, Watermarks{Newest: 7, Complete: 7}, facts.Watermarks())
+		fleetState, clock := newTestFleetState()
+		replayStore(t, clock, fleetState, returnsFacts(5, listed("a", 3)), returnsError(provider.ErrUnavailable), returnsFacts(7, deleted()))
+		require.Empty(t, fleetState.View().Servers("llm"))
+		require.Equal(t, Watermarks{Newest: 7, Complete: 7}, fleetState.Watermarks())
 	})
 }
 
 func TestReturnedEntryOutlivesDeferredDeletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts, clock := newTestFleetState()
-		replayStore(t, clock, facts, outage(returnsFacts(5, listed("a", 3)), returnsFacts(7, deleted()), returnsFacts(8, listed("a", 8)))...)
+		fleetState, clock := newTestFleetState()
+		replayStore(t, clock, fleetState, outage(returnsFacts(5, listed("a", 3)), returnsFacts(7, deleted()), returnsFacts(8, listed("a", 8)))...)
 		clock.Advance(2 * expiryDeferral)
-		require.Len(t, facts.View().Servers("llm"), 1)
+		require.Len(t, fleetState.View().Servers("llm"), 1)
 	})
 }
 
-// Only this box had lost the store; another one knows that the server left.
+// Only this box lost the store, and another box reports that the server left.
 func TestDeletionFromAnotherBoxIsNotDeferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts, clock := newTestFleetState()
-		replayStore(t, clock, facts, outage(returnsFacts(5, listed("a", 3)), returnsFacts(7, deleted()))...)
-		facts.Apply([]fleet.Fact{deleted()}, "entry-2")
-		require.Empty(t, facts.View().Servers("llm"))
-		require.Equal(t, Watermarks{Newest: 7, Complete: 7}, facts.Watermarks())
+		fleetState, clock := newTestFleetState()
+		replayStore(t, clock, fleetState, outage(returnsFacts(5, listed("a", 3)), returnsFacts(7, deleted()))...)
+		fleetState.Apply([]fleet.Fact{deleted()}, "entry-2")
+		require.Empty(t, fleetState.View().Servers("llm"))
+		require.Equal(t, Watermarks{Newest: 7, Complete: 7}, fleetState.Watermarks())
 	})
 }
 
 func TestEntryMissingFromSnapshotIsDeleted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts, clock := newTestFleetState()
-		replayStore(t, clock, facts,
+		fleetState, clock := newTestFleetState()
+		replayStore(t, clock, fleetState,
 			returnsFacts(5, listed("a", 3), listed("b", 4)), returnsError(provider.ErrCompacted), returnsFacts(9, listed("b", 4)))
-		servers := facts.View().Servers("llm")
+		servers := fleetState.View().Servers("llm")
 		require.Len(t, servers, 1)
 		require.Equal(t, fleet.ServerID("b"), servers[0].ID)
 	})
@@ -156,49 +156,49 @@
 
 func TestOlderConfigurationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts, clock := newTestFleetState()
+		fleetState, clock := newTestFleetState()
 		configuration := func(version uint64, revision fleet.Revision) fleet.Fact {
 			return fleet.Fact{Key: fleet.ConfigurationKey(), Revision: revision, Configuration: &fleet.Configuration{Version: version}}
 		}
-		replayStore(t, clock, facts, returnsFacts(5, configuration(4, 5)), returnsFacts(6, configuration(3, 6)))
-		require.EqualValues(t, 4, facts.View().Configuration.Version)
-		facts.Apply([]fleet.Fact{configuration(2, 2)}, "entry-2")
-		require.EqualValues(t, 4, facts.View().Configuration.Version)
+		replayStore(t, clock, fleetState, returnsFacts(5, configuration(4, 5)), returnsFacts(6, configuration(3, 6)))
+		require.EqualValues(t, 4, fleetState.View().Configuration.Version)
+		fleetState.Apply([]fleet.Fact{configuration(2, 2)}, "entry-2")
+		require.EqualValues(t, 4, fleetState.View().Configuration.Version)
 	})
 }
 
 func TestCutoffCountsFromEachPublishedVersion(t *testing.T) {
-	facts, clock := newTestFleetState()
-	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}}, "store")
-	wanted := func(version fleet.WeightsVersion, revision fleet.Revision) fleet.Fact {
+	fleetState, clock := newTestFleetState()
+	fleetState.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}}, "store")
+	desired := func(version fleet.WeightsVersion, revision fleet.Revision) fleet.Fact {
 		return fleet.Fact{Key: fleet.DesiredKey("m"), Revision: revision, Desired: &fleet.DesiredVersion{Model: "m", Version: version}}
 	}
-	facts.Apply([]fleet.Fact{wanted(2, 2)}, "store")
+	fleetState.Apply([]fleet.Fact{desired(2, 2)}, "store")
 	clock.Advance(3 * time.Second)
-	facts.Apply([]fleet.Fact{wanted(3, 3)}, "store")
-	named, bound := facts.View().PublishedVersions("m"), 8*time.Second
+	fleetState.Apply([]fleet.Fact{desired(3, 3)}, "store")
+	published, bound := fleetState.View().PublishedVersions("m"), 8*time.Second
 	clock.Advance(4 * time.Second)
-	require.EqualValues(t, 0, named.OldestAllowed(bound, clock.Now()))
+	require.EqualValues(t, 0, published.OldestAllowed(bound, clock.Now()))
 	clock.Advance(time.Second)
-	require.EqualValues(t, 2, named.OldestAllowed(bound, clock.Now()))
+	require.EqualValues(t, 2, published.OldestAllowed(bound, clock.Now()))
 	clock.Advance(3 * time.Second)
-	require.EqualValues(t, 3, named.OldestAllowed(bound, clock.Now()))
-	barred, ok := named.CutoffTime(1, bound)
+	require.EqualValues(t, 3, published.OldestAllowed(bound, clock.Now()))
+	cutoff, ok := published.CutoffTime(1, bound)
 	require.True(t, ok)
-	require.Equal(t, clock.Now().Add(-3*time.Second), barred)
+	require.Equal(t, clock.Now().Add(-3*time.Second), cutoff)
 }
 
-// A version that was there when the process started may have been named long before;
-// one that comes a moment later was named just now.
+// A version that is present when the process starts may have been published long before. A version that arrives
+// later was published at that moment.
 func TestOnlyVersionsPresentAtStartGetAssumedAge(t *testing.T) {
 	configuration := fleet.Fact{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}
-	wanted := fleet.Fact{Key: fleet.DesiredKey("m"), Revision: 2, Desired: &fleet.DesiredVersion{Model: "m", Version: 2}}
+	desired := fleet.Fact{Key: fleet.DesiredKey("m"), Revision: 2, Desired: &fleet.DesiredVersion{Model: "m", Version: 2}}
 	together, clock := newTestFleetState()
-	together.Apply([]fleet.Fact{configuration, wanted}, "store")
+	together.Apply([]fleet.Fact{configuration, desired}, "store")
 	require.Equal(t, clock.Now().Add(-minAssumedAge), together.View().PublishedVersions("m").Newest().PublishedAt)
 	later, clock := newTestFleetState()
 	later.Apply([]fleet.Fact{configuration}, "store")
-	later.Apply([]fleet.Fact{wanted}, "store")
+	later.Apply([]fleet.Fact{desired}, "store")
 	require.Equal(t, clock.Now(), later.View().PublishedVersions("m").Newest().PublishedAt)
 }
 
@@ -206,169 +206,170 @@
 	return fleet.Fact{Key: fleet.DesiredKey("m"), Revision: revision, Desired: &fleet.DesiredVersion{Model: "m", Version: version}}
 }
 
-// A box that has just started guessed that both versions were named long ago, and
-// barred the older of them while it was still in force.
+// Guards against a box that has just started, assumes that both versions are old, and applies the cutoff of the
+// older one while that version is still allowed.
 func TestLateProcessMergesVersionAges(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	configuration := fleet.Fact{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}
-	witness := NewFleetState(clock, zerolog.Nop(), NewMetrics())
-	witness.Apply([]fleet.Fact{configuration}, "store")
-	witness.Apply([]fleet.Fact{publishedFact(2, 2)}, "store")
+	observer := NewFleetState(clock, zerolog.Nop(), NewMetrics())
+	observer.Apply([]fleet.Fact{configuration}, "store")
+	observer.Apply([]fleet.Fact{publishedFact(2, 2)}, "store")
 	clock.Advance(2 * time.Second)
-	witness.Apply([]fleet.Fact{publishedFact(3, 3)}, "store")
+	observer.Apply([]fleet.Fact{publishedFact(3, 3)}, "store")
 	clock.Advance(time.Second)
 
 	late := NewFleetState(clock, zerolog.Nop(), NewMetrics())
 	late.Apply([]fleet.Fact{configuration, publishedFact(2, 2), publishedFact(3, 3)}, "store")
-	require.Empty(t, late.VersionAges(), "a guess is not told to others")
-	late.MergeVersionAges(witness.VersionAges(), "entry-2")
+	require.Empty(t, late.VersionAges(), "an assumed age is not reported to others")
+	late.MergeVersionAges(observer.VersionAges(), "entry-2")
 	bound := 6 * time.Second
 	clock.Advance(3 * time.Second)
-	named := late.View().PublishedVersions("m")
-	require.EqualValues(t, 2, named.OldestAllowed(bound, clock.Now()))
-	require.Equal(t, witness.View().PublishedVersions("m").Newest().PublishedAt, named.Newest().PublishedAt)
-	require.Equal(t, witness.VersionAges(), late.VersionAges())
+	published := late.View().PublishedVersions("m")
+	require.EqualValues(t, 2, published.OldestAllowed(bound, clock.Now()))
+	require.Equal(t, observer.View().PublishedVersions("m").Newest().PublishedAt, published.Newest().PublishedAt)
+	require.Equal(t, observer.VersionAges(), late.VersionAges())
 }
 
-// An agent heard of a version from an entry box that had just started and only guessed its age; it took
-// that moment for the name's, and its word, as a witness's, replaced the guesses of all boxes: older weights began requests
-// for 2.2 s too long.
+// Guards against recording the time at which a version was received from another process as its publication time.
+// An agent received a version from an entry box that had just started, and its wrong age replaced the assumed ages
+// of all boxes. Older weights started requests for 2.2 s too long.
 func TestVersionFromAnotherProcessIsNotObserved(t *testing.T) {
-	facts, clock := newTestFleetState()
-	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}}, "store")
+	fleetState, clock := newTestFleetState()
+	fleetState.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}}, "store")
 	fact := publishedFact(2, 2)
 	item, err := fact.Item()
 	require.NoError(t, err)
-	facts.ApplyItems([]state.Item{item}, "entry-2")
-	require.Empty(t, facts.VersionAges())
-	require.Equal(t, clock.Now().Add(-minAssumedAge), facts.View().PublishedVersions("m").Newest().PublishedAt)
-	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: 300 * time.Millisecond}}, "entry-3")
-	require.Equal(t, clock.Now().Add(-300*time.Millisecond), facts.View().PublishedVersions("m").Newest().PublishedAt, "a witness is right")
+	fleetState.ApplyItems([]state.Item{item}, "entry-2")
+	require.Empty(t, fleetState.VersionAges())
+	require.Equal(t, clock.Now().Add(-minAssumedAge), fleetState.View().PublishedVersions("m").Newest().PublishedAt)
+	fleetState.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: 300 * time.Millisecond}}, "entry-3")
+	require.Equal(t, clock.Now().Add(-300*time.Millisecond), fleetState.View().PublishedVersions("m").Newest().PublishedAt, "an observed age replaces an assumed one")
 }
 
-// A box that had just started had a configuration from another one before it read the store itself. It took
-// a version that it found there for one that was named at that moment, and told that to all.
+// Guards against treating the first read of the store as an observed publication. A box that had just started
+// received a configuration from another box before it read the store. It took a version in the store for one
+// published at that moment, and reported that age to all others.
 func TestVersionInInitialReadIsNotObserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts, clock := newTestFleetState()
+		fleetState, clock := newTestFleetState()
 		configuration := fleet.Fact{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}
 		item, err := configuration.Item()
 		require.NoError(t, err)
-		facts.ApplyItems([]state.Item{item}, "entry-2")
-		replayStore(t, clock, facts, returnsFacts(5, configuration, publishedFact(2, 5)), returnsFacts(6, publishedFact(3, 6)))
-		named := facts.View().PublishedVersions("m")
-		require.Equal(t, facts.StoreRespondedAt(), named.PublishedAt(3), "a later one is read as it is written")
-		require.LessOrEqual(t, named.PublishedAt(2), facts.StoreRespondedAt().Add(-minAssumedAge))
-		require.Len(t, facts.VersionAges(), 1)
+		fleetState.ApplyItems([]state.Item{item}, "entry-2")
+		replayStore(t, clock, fleetState, returnsFacts(5, configuration, publishedFact(2, 5)), returnsFacts(6, publishedFact(3, 6)))
+		published := fleetState.View().PublishedVersions("m")
+		require.Equal(t, fleetState.StoreRespondedAt(), published.PublishedAt(3), "a later version is observed")
+		require.LessOrEqual(t, published.PublishedAt(2), fleetState.StoreRespondedAt().Add(-minAssumedAge))
+		require.Len(t, fleetState.VersionAges(), 1)
 	})
 }
 
-// After eight versions of a model the ages of later ones were told no more, as the number of those that are kept
-// stayed the same.
+// Guards against change detection by the number of versions. It stays the same after eight versions of a model, so
+// the ages of later ones were not reported.
 func TestEachVersionIncrementsAgeChangeCount(t *testing.T) {
-	facts, _ := newTestFleetState()
-	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}}, "store")
-	known := facts.ageChangeCount()
+	fleetState, _ := newTestFleetState()
+	fleetState.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}}, "store")
+	known := fleetState.ageChangeCount()
 	for version := range fleet.WeightsVersion(20) {
-		facts.Apply([]fleet.Fact{publishedFact(version+2, fleet.Revision(version)+2)}, "store")
-		require.NotEqual(t, known, facts.ageChangeCount())
-		known = facts.ageChangeCount()
+		fleetState.Apply([]fleet.Fact{publishedFact(version+2, fleet.Revision(version)+2)}, "store")
+		require.NotEqual(t, known, fleetState.ageChangeCount())
+		known = fleetState.ageChangeCount()
 	}
-	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 3, Age: time.Hour}}, "entry-2")
-	require.Equal(t, known, facts.ageChangeCount(), "one that is older than all that are kept is no news")
-	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 21, Age: time.Second}}, "entry-2")
-	require.NotEqual(t, known, facts.ageChangeCount(), "an age that is corrected is")
+	fleetState.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 3, Age: time.Hour}}, "entry-2")
+	require.Equal(t, known, fleetState.ageChangeCount(), "a version older than all kept ones is ignored")
+	fleetState.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 21, Age: time.Second}}, "entry-2")
+	require.NotEqual(t, known, fleetState.ageChangeCount(), "a corrected age is counted")
 }
 
-// Users saw a request begin on weights more than the bound after a newer version was confirmed, in some runs
-// only. Two versions had been named 4 s after each other, and a box was started in between or after: the
-// store holds only the newest name, so it knew the second one alone, and barred the first weights by
-// that, 4 s late. What the others told it of the version between it passed over, as it was older
-// than what it knew. Evidence: the two boxes of this test require versions 2 and 0 from 7.0 to 11 s after
-// the first name; a server that had its copy late was used by the one and not by the other.
+// Guards against requests that start on old weights for longer than the bound after a newer version is published.
+// Two versions were published 4 s apart. A box that started later read only the newer one from the store, and
+// ignored reports of the older one, so it applied the cutoff of the weights before both 4 s late. From 7.0 to 11 s
+// after the first publication the two boxes of this test required versions 2 and 0, and only one of them used a
+// server that loaded its weights late.
 func TestLateBoxAppliesCutoffOfSkippedVersion(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	configuration := fleet.Fact{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}
-	there := NewFleetState(clock, zerolog.Nop(), NewMetrics())
-	there.Apply([]fleet.Fact{configuration}, "store")
-	there.Apply([]fleet.Fact{publishedFact(2, 2)}, "store")
+	observer := NewFleetState(clock, zerolog.Nop(), NewMetrics())
+	observer.Apply([]fleet.Fact{configuration}, "store")
+	observer.Apply([]fleet.Fact{publishedFact(2, 2)}, "store")
 	clock.Advance(4 * time.Second)
-	there.Apply([]fleet.Fact{publishedFact(3, 3)}, "store")
+	observer.Apply([]fleet.Fact{publishedFact(3, 3)}, "store")
 	clock.Advance(500 * time.Millisecond)
 
-	later := NewFleetState(clock, zerolog.Nop(), NewMetrics())
-	later.Apply([]fleet.Fact{configuration, publishedFact(3, 3)}, "store")
-	later.MergeVersionAges(there.VersionAges(), "there")
+	late := NewFleetState(clock, zerolog.Nop(), NewMetrics())
+	late.Apply([]fleet.Fact{configuration, publishedFact(3, 3)}, "store")
+	late.MergeVersionAges(observer.VersionAges(), "there")
 	const bound = 8 * time.Second
 	for range 80 {
 		clock.Advance(100 * time.Millisecond)
-		require.Equal(t, there.View().PublishedVersions("m").OldestAllowed(bound, clock.Now()), later.View().PublishedVersions("m").OldestAllowed(bound, clock.Now()))
+		require.Equal(t, observer.View().PublishedVersions("m").OldestAllowed(bound, clock.Now()), late.View().PublishedVersions("m").OldestAllowed(bound, clock.Now()))
 	}
-	require.EqualValues(t, 3, later.View().PublishedVersions("m").OldestAllowed(bound, clock.Now()))
-	require.Equal(t, there.VersionAges(), later.VersionAges(), "it tells both on")
+	require.EqualValues(t, 3, late.View().PublishedVersions("m").OldestAllowed(bound, clock.Now()))
+	require.Equal(t, observer.VersionAges(), late.VersionAges(), "both ages are reported on")
 }
 
-// A box that stood still heard of a version when it woke.
+// A box that was suspended receives a version late, when it resumes.
 func TestEarliestObserverSetsVersionAge(t *testing.T) {
-	facts, clock := newTestFleetState()
-	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}}, "store")
-	facts.Apply([]fleet.Fact{publishedFact(2, 2)}, "store")
-	heard := clock.Now()
-	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: 5 * time.Second}}, "entry-2")
-	require.Equal(t, heard.Add(-5*time.Second), facts.View().PublishedVersions("m").Newest().PublishedAt)
-	told := facts.View().PublishedVersions("m")
-	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: time.Second}, {Model: "n", Version: 2}}, "entry-3")
-	require.Equal(t, told, facts.View().PublishedVersions("m"), "one who heard later changes nothing")
-	require.Equal(t, clock.Now(), facts.View().PublishedVersions("n").Newest().PublishedAt)
-	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 9, Age: time.Second}, {Model: "m", Version: 2, Age: 7 * time.Second}}, "entry-4")
-	require.Equal(t, heard.Add(-7*time.Second), facts.View().PublishedVersions("m").PublishedAt(2), "a newer version beside it keeps none from being corrected")
-	require.Equal(t, heard.Add(-time.Second), facts.View().PublishedVersions("m").Newest().PublishedAt)
+	fleetState, clock := newTestFleetState()
+	fleetState.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}}, "store")
+	fleetState.Apply([]fleet.Fact{publishedFact(2, 2)}, "store")
+	receivedAt := clock.Now()
+	fleetState.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: 5 * time.Second}}, "entry-2")
+	require.Equal(t, receivedAt.Add(-5*time.Second), fleetState.View().PublishedVersions("m").Newest().PublishedAt)
+	published := fleetState.View().PublishedVersions("m")
+	fleetState.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: time.Second}, {Model: "n", Version: 2}}, "entry-3")
+	require.Equal(t, published, fleetState.View().PublishedVersions("m"), "a later observation changes nothing")
+	require.Equal(t, clock.Now(), fleetState.View().PublishedVersions("n").Newest().PublishedAt)
+	fleetState.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 9, Age: time.Second}, {Model: "m", Version: 2, Age: 7 * time.Second}}, "entry-4")
+	require.Equal(t, receivedAt.Add(-7*time.Second), fleetState.View().PublishedVersions("m").PublishedAt(2), "an age is corrected even if the batch also has a newer version")
+	require.Equal(t, receivedAt.Add(-time.Second), fleetState.View().PublishedVersions("m").Newest().PublishedAt)
 }
 
-// After a loss of power each address had two entries for seconds, and half of the
-// requests were sent to servers that were no more.
+// Guards against two servers with one address. After a power failure, each address had two entries for seconds,
+// and half of the requests went to servers that no longer existed.
 func TestNewestEntryWinsPerAddress(t *testing.T) {
-	facts, _ := newTestFleetState()
+	fleetState, _ := newTestFleetState()
 	only := func() fleet.ServerID {
-		servers := facts.View().Servers("llm")
+		servers := fleetState.View().Servers("llm")
 		require.Len(t, servers, 1)
 		return servers[0].ID
 	}
-	facts.Apply([]fleet.Fact{listedAt("new", "10.0.0.1:80", 9), listedAt("old", "10.0.0.1:80", 3)}, "store")
+	fleetState.Apply([]fleet.Fact{listedAt("new", "10.0.0.1:80", 9), listedAt("old", "10.0.0.1:80", 3)}, "store")
 	require.Equal(t, fleet.ServerID("new"), only())
-	facts.Apply([]fleet.Fact{{Key: fleet.ServerKey("old"), Revision: 12, Deleted: true}}, "store")
+	fleetState.Apply([]fleet.Fact{{Key: fleet.ServerKey("old"), Revision: 12, Deleted: true}}, "store")
 	require.Equal(t, fleet.ServerID("new"), only())
-	facts.Apply([]fleet.Fact{{Key: fleet.ServerKey("new"), Revision: 13, Deleted: true}}, "store")
-	require.Empty(t, facts.View().Servers("llm"))
+	fleetState.Apply([]fleet.Fact{{Key: fleet.ServerKey("new"), Revision: 13, Deleted: true}}, "store")
+	require.Empty(t, fleetState.View().Servers("llm"))
 }
 
-// Agents of a region whose reader of the store was cut off heard of a version 0.9 s after its
-// name, though boxes of the other regions told of its age each 0.05 s.
+// Guards against waiting for the fact of a version whose age is known. Agents in a region whose reader of the
+// store was disconnected received a version 0.9 s late, although boxes of other regions reported its age every
+// 0.05 s.
 func TestVersionAgeFromPeerPublishesVersion(t *testing.T) {
-	facts, clock := newTestFleetState()
-	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: 300 * time.Millisecond}, {Model: "m", Version: 3, Age: 100 * time.Millisecond}}, "entry-2")
-	named := facts.View().PublishedVersions("m")
-	require.EqualValues(t, 3, named.Newest().Version)
-	require.Equal(t, clock.Now().Add(-100*time.Millisecond), named.Newest().PublishedAt)
-	require.Equal(t, clock.Now().Add(-300*time.Millisecond), named.PublishedAt(2))
-	require.Len(t, facts.VersionAges(), 2, "it is told on")
-	facts.Apply([]fleet.Fact{publishedFact(3, 9)}, "store")
-	require.Equal(t, named, facts.View().PublishedVersions("m"), "the store's own word changes nothing")
-	facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: time.Second}}, "entry-3")
-	require.EqualValues(t, 3, facts.View().PublishedVersions("m").Newest().Version)
+	fleetState, clock := newTestFleetState()
+	fleetState.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: 300 * time.Millisecond}, {Model: "m", Version: 3, Age: 100 * time.Millisecond}}, "entry-2")
+	published := fleetState.View().PublishedVersions("m")
+	require.EqualValues(t, 3, published.Newest().Version)
+	require.Equal(t, clock.Now().Add(-100*time.Millisecond), published.Newest().PublishedAt)
+	require.Equal(t, clock.Now().Add(-300*time.Millisecond), published.PublishedAt(2))
+	require.Len(t, fleetState.VersionAges(), 2, "the ages are reported on")
+	fleetState.Apply([]fleet.Fact{publishedFact(3, 9)}, "store")
+	require.Equal(t, published, fleetState.View().PublishedVersions("m"), "the fact from the store changes nothing")
+	fleetState.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: time.Second}}, "entry-3")
+	require.EqualValues(t, 3, fleetState.View().PublishedVersions("m").Newest().Version)
 }
 
-// A change that came shortly after others waited until more had been gathered.
+// Guards against batching a change that comes shortly after a few others, which delays it.
 func TestBurstOfChangesIsReadImmediately(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	reader := &storeReader{intervals: testIntervals}
-	spared := 0
+	immediate := 0
 	for range 20 {
 		if reader.takeToken(clock.Now()) {
-			spared++
+			immediate++
 		}
 	}
-	require.Equal(t, readBurst, spared)
+	require.Equal(t, readBurst, immediate)
 	clock.Advance(testIntervals.batchDelay)
 	require.True(t, reader.takeToken(clock.Now()))
 	require.False(t, reader.takeToken(clock.Now()))
--- a/internal/direct/outage_test.go
+++ b/internal/direct/outage_test.go
@@ -23,22 +23,22 @@
 	"github.com/cinderslip/cinderslip/pkg/state"
 )
 
-// testIntervals are those for changes that must be in force in two seconds.
+// testIntervals are the intervals for changes that must be in force within two seconds.
 var testIntervals = readIntervalsFor(2 * time.Second)
 
-// maxReadDelay is in which time a box has to read a change of the store: half of the two
-// seconds after which it has to be in force, so that others can be told in the other half.
+// maxReadDelay is the time within which a box must read a change of the store: half of the two seconds within
+// which the change must be in force, as the other half is for reporting it to other boxes.
 const maxReadDelay = time.Second
 
-// silentStore is a store that swallows calls: one that comes while it is silent never gets
-// an answer, also after it is back.
+// silentStore is a store that loses calls. A call made while it is silent never gets a response, even after the
+// store recovers.
 type silentStore struct {
 	mu      sync.Mutex
 	silent  bool
 	version uint64
 	changed chan struct{}
-	// disconnected is closed when the connections go silent; there is another one for those that are
-	// opened later.
+	// disconnected is closed when the open connections become silent. Connections opened later have another
+	// channel.
 	disconnected chan struct{}
 }
 
@@ -46,28 +46,28 @@
 	return &silentStore{version: 1, changed: make(chan struct{}), disconnected: make(chan struct{})}
 }
 
-// setSilent begins or ends the outage; calls that wait for changes are swallowed too.
+// setSilent starts or ends the outage. Calls that wait for changes are lost too.
 func (s *silentStore) setSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = silent
 }
 
-// disconnect lets the calls on connections that are open hear nothing any more.
+// disconnect makes the open connections silent, so that their calls get no response.
 func (s *silentStore) disconnect() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.disconnected)
 }
 
-// reconnect lets later calls use another connection.
+// reconnect makes later calls use a new connection.
 func (s *silentStore) reconnect() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.disconnected = make(chan struct{})
 }
 
-// configure writes another configuration.
+// configure writes a new version of the configuration.
 func (s *silentStore) configure(version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,22 +86,22 @@
 func (s *silentStore) answer(ctx context.Context, after fleet.Revision, wait time.Duration) (provider.FactBatch, error) {
 	end := time.After(wait)
 	s.mu.Lock()
-	cut := s.disconnected
+	disconnected := s.disconnected
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
-		silent, at, changed := s.silent, fleet.Revision(s.version), s.changed
+		silent, revision, changed := s.silent, fleet.Revision(s.version), s.changed
 		s.mu.Unlock()
-		if silent || isClosed(cut) {
+		if silent || isClosed(disconnected) {
 			<-ctx.Done()
 			return provider.FactBatch{}, provider.ErrUnavailable
 		}
-		if at > after {
-			fact := fleet.Fact{Key: fleet.ConfigurationKey(), Revision: at, Configuration: &fleet.Configuration{Version: uint64(at)}}
-			return provider.FactBatch{Facts: []fleet.Fact{fact}, Revision: at}, nil
+		if revision > after {
+			fact := fleet.Fact{Key: fleet.ConfigurationKey(), Revision: revision, Configuration: &fleet.Configuration{Version: uint64(revision)}}
+			return provider.FactBatch{Facts: []fleet.Fact{fact}, Revision: revision}, nil
 		}
 		select {
-		case <-cut:
+		case <-disconnected:
 		case <-changed:
 		case <-end:
 			return provider.FactBatch{Revision: after}, nil
@@ -120,37 +120,37 @@
 	}
 }
 
-// awaitVersion returns how long it takes until a configuration is in force, at most a minute.
-func awaitVersion(facts *FleetState, version uint64) time.Duration {
-	began, limit := time.Now(), time.After(time.Minute)
+// awaitVersion returns the time until a configuration is in force, at most a minute.
+func awaitVersion(fleetState *FleetState, version uint64) time.Duration {
+	startedAt, limit := time.Now(), time.After(time.Minute)
 	for {
-		changed := facts.Changed()
-		if view := facts.View(); view.Configuration != nil && view.Configuration.Version >= version {
-			return time.Since(began)
+		changed := fleetState.Changed()
+		if view := fleetState.View(); view.Configuration != nil && view.Configuration.Version >= version {
+			return time.Since(startedAt)
 		}
 		select {
 		case <-changed:
 		case <-limit:
-			return time.Since(began)
+			return time.Since(startedAt)
 		}
 	}
 }
 
-// A call that the store had swallowed just before it came back, and the pause after it, hid
-// for up to four seconds that it was back.
+// Guards against slow detection of a recovered store. A call that the store lost just before its recovery, and the
+// delay after it, hid the recovery for up to four seconds.
 func TestRecoveredStoreIsReadPromptly(t *testing.T) {
 	const shortest, longest, step = 2 * time.Second, 9 * time.Second, 100 * time.Millisecond
 	for silent := shortest; silent <= longest; silent += step {
 		synctest.Test(t, func(t *testing.T) {
-			store, facts := newSilentStore(), NewFleetState(clockwork.NewRealClock(), zerolog.Nop(), NewMetrics())
-			defer func() { require.NoError(t, facts.Stop(context.Background())) }()
-			facts.ReadStore(store.source(), testIntervals, func() bool { return true }, func() time.Duration { return probeIntervalFor(7) })
-			awaitVersion(facts, 1)
+			store, fleetState := newSilentStore(), NewFleetState(clockwork.NewRealClock(), zerolog.Nop(), NewMetrics())
+			defer func() { require.NoError(t, fleetState.Stop(context.Background())) }()
+			fleetState.ReadStore(store.source(), testIntervals, func() bool { return true }, func() time.Duration { return probeIntervalFor(7) })
+			awaitVersion(fleetState, 1)
 			store.setSilent(true)
 			time.Sleep(silent)
 			store.setSilent(false)
 			store.configure(2)
-			assert.LessOrEqual(t, awaitVersion(facts, 2), maxReadDelay, "silent for %s", silent)
+			assert.LessOrEqual(t, awaitVersion(fleetState, 2), maxReadDelay, "silent for %s", silent)
 		})
 	}
 }
@@ -163,48 +163,48 @@
 	}
 }
 
-// The connections to the store go silent for good, the kept ones too, while new ones work.
+// The open connections to the store become silent permanently, idle ones included, while new ones work.
 func TestChangeIsReadDespiteSilentConnections(t *testing.T) {
 	for phase := time.Duration(0); phase <= testIntervals.longPoll; phase += testIntervals.longPoll / 10 {
 		synctest.Test(t, func(t *testing.T) {
-			store, facts := newSilentStore(), NewFleetState(clockwork.NewRealClock(), zerolog.Nop(), NewMetrics())
-			defer func() { require.NoError(t, facts.Stop(context.Background())) }()
-			facts.ReadStore(store.source(), testIntervals, func() bool { return true }, func() time.Duration { return probeIntervalFor(7) })
-			awaitVersion(facts, 1)
+			store, fleetState := newSilentStore(), NewFleetState(clockwork.NewRealClock(), zerolog.Nop(), NewMetrics())
+			defer func() { require.NoError(t, fleetState.Stop(context.Background())) }()
+			fleetState.ReadStore(store.source(), testIntervals, func() bool { return true }, func() time.Duration { return probeIntervalFor(7) })
+			awaitVersion(fleetState, 1)
 			time.Sleep(5*time.Second + phase)
 			synctest.Wait()
 			store.disconnect()
 			store.configure(2)
-			assert.LessOrEqual(t, awaitVersion(facts, 2), testIntervals.longPoll+overdueAfter, "silent %s after a call", phase)
+			assert.LessOrEqual(t, awaitVersion(fleetState, 2), testIntervals.longPoll+overdueAfter, "connections silent %s after a call", phase)
 		})
 	}
 }
 
-// newTestEntryBoxes returns what a box knows of one other that told its status.
-func newTestEntryBoxes(facts *FleetState, told ...*wire.EntryStatus) *EntryBoxes {
+// newTestEntryBoxes returns the entry boxes known to a box that has received the given statuses.
+func newTestEntryBoxes(fleetState *FleetState, statuses ...*wire.EntryStatus) *EntryBoxes {
 	boxes := &EntryBoxes{
-		suspects: noSuspectRequests(), fleetState: facts, clock: facts.clock, log: zerolog.Nop(), tasks: kernel.NewTaskGroup(),
+		suspects: noSuspectRequests(), fleetState: fleetState, clock: fleetState.clock, log: zerolog.Nop(), tasks: kernel.NewTaskGroup(),
 		boxes: make(map[string]EntryBox), cursors: make(map[member.Address]state.Cursor),
-		membership: newTestMembership(facts.clock, "self"), readers: newReaderSet("self", "", testIntervals.readerTimeout()),
+		membership: newTestMembership(fleetState.clock, "self"), readers: newReaderSet("self", "", testIntervals.readerTimeout()),
 	}
 	boxes.self.Box = "self"
-	for _, status := range told {
-		boxes.updateBox(status.Peers, status, facts.clock.Now())
+	for _, status := range statuses {
+		boxes.updateBox(status.Peers, status, fleetState.clock.Now())
 	}
 	return boxes
 }
 
-func newTestStatusServer(facts *FleetState) *StatusServer {
+func newTestStatusServer(fleetState *FleetState) *StatusServer {
 	own := member.Record{Box: "reader", Peers: "reader:1", Incarnation: 1, Status: member.StatusStarting}
-	return &StatusServer{suspects: noSuspectRequests(), clock: facts.clock, fleetState: facts, membership: NewMembership(own, facts.clock, zerolog.Nop())}
+	return &StatusServer{suspects: noSuspectRequests(), clock: fleetState.clock, fleetState: fleetState, membership: NewMembership(own, fleetState.clock, zerolog.Nop())}
 }
 
 func configurationFact(version uint64, revision fleet.Revision) fleet.Fact {
 	return fleet.Fact{Key: fleet.ConfigurationKey(), Revision: revision, Configuration: &fleet.Configuration{Version: version}}
 }
 
-// A box that held back the deletion of a server's entry told the revision before it, so that
-// nobody asked it, for up to 2.2 s, for the configuration that it had read since.
+// Guards against a reader that defers the deletion of a server's entry and reports only the revision before it.
+// For up to 2.2 s, no other box requested the configuration that the reader had read since.
 func TestConfigurationIsReportedWhileDeletionsAreDeferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reader, clock := newTestFleetState()
@@ -222,59 +222,59 @@
 			return behind
 		}
 		read := func() { boxes.applyBatch("reader:1", status.factsBatch(boxes.cursors["reader:1"], false)) }
-		require.True(t, isBehind(), "the follower has to ask for the new configuration")
+		require.True(t, isBehind(), "the follower must pull the new configuration")
 		read()
 		require.EqualValues(t, 2, follower.View().Configuration.Version)
 		require.Len(t, follower.View().Servers("llm"), 1)
-		require.False(t, isBehind(), "there is nothing to ask for until the deletion counts")
+		require.False(t, isBehind(), "there is nothing to pull until the deletion is applied")
 		clock.Advance(expiryDeferral)
 		synctest.Wait()
-		require.True(t, isBehind(), "the follower has to ask for the deletion")
+		require.True(t, isBehind(), "the follower must pull the deletion")
 		read()
 		require.Empty(t, follower.View().Servers("llm"))
 		require.False(t, isBehind())
 	})
 }
 
-// A reader whose cursor is old hears once more of entries that lapsed; those that it knows to
-// be back must not be held, nor keep it from telling what it knows.
+// A reader with an old cursor receives the deletions of expired entries again. Deletions of entries that are known
+// to have returned must not be deferred, nor lower the reported watermarks.
 func TestReturnedEntryIsNotDeferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts, clock := newTestFleetState()
-		facts.Apply([]fleet.Fact{listed("a", 8), configurationFact(2, 9)}, "entry-2")
-		replayStore(t, clock, facts, outage(returnsFacts(5, listed("a", 3)), returnsFacts(9, deleted(), listed("a", 8), configurationFact(2, 9)))...)
-		require.Len(t, facts.View().Servers("llm"), 1)
-		require.Equal(t, Watermarks{Newest: 9, Complete: 9}, facts.Watermarks())
+		fleetState, clock := newTestFleetState()
+		fleetState.Apply([]fleet.Fact{listed("a", 8), configurationFact(2, 9)}, "entry-2")
+		replayStore(t, clock, fleetState, outage(returnsFacts(5, listed("a", 3)), returnsFacts(9, deleted(), listed("a", 8), configurationFact(2, 9)))...)
+		require.Len(t, fleetState.View().Servers("llm"), 1)
+		require.Equal(t, Watermarks{Newest: 9, Complete: 9}, fleetState.Watermarks())
 	})
 }
 
-// Facts come to each region by its own reader; asked of whoever knew them first, they crossed
-// the links between regions once for each box.
+// Facts reach each region through its own reader. Guards against pulling them from whichever box has them first,
+// which sent them over the links between regions once per box.
 func TestBoxPullsFromOwnRegionFirst(t *testing.T) {
-	facts, clock := newTestFleetState()
+	fleetState, clock := newTestFleetState()
 	status := func(box, region string) *wire.EntryStatus {
 		return &wire.EntryStatus{Box: box, Peers: box, Region: region, Revision: 7}
 	}
-	boxes := newTestEntryBoxes(facts, status("far", "kurzeme"))
+	boxes := newTestEntryBoxes(fleetState, status("far", "kurzeme"))
 	boxes.self.Region = "riga"
 	boxes.membership.Merge(recordItems(t, member.Record{Box: "far", Region: "kurzeme", Status: member.StatusUp}), "")
-	asks := func(r *repairer, at time.Time) member.Address {
+	nextSource := func(r *repairer, at time.Time) member.Address {
 		if from, ok := r.nextSource(at); ok {
 			return from
 		}
 		return ""
 	}
 	alone, now := &repairer{boxes: boxes}, clock.Now()
-	require.Empty(t, asks(alone, now))
-	require.Empty(t, asks(alone, now.Add(pullDelay-time.Millisecond)))
-	require.Equal(t, member.Address("far"), asks(alone, now.Add(pullDelay)))
+	require.Empty(t, nextSource(alone, now))
+	require.Empty(t, nextSource(alone, now.Add(pullDelay-time.Millisecond)))
+	require.Equal(t, member.Address("far"), nextSource(alone, now.Add(pullDelay)))
 	boxes.updateBox("near", status("near", "riga"), now)
 	boxes.readers.update(higherRankedBox("self"), now)
 	require.False(t, boxes.isReader())
-	require.Equal(t, member.Address("near"), asks(&repairer{boxes: boxes}, now))
+	require.Equal(t, member.Address("near"), nextSource(&repairer{boxes: boxes}, now))
 }
 
-// higherRankedBox returns a box that is to read the store rather than another one.
+// higherRankedBox returns a box that ranks higher than another one as a reader of the store.
 func higherRankedBox(box member.BoxID) member.BoxID {
 	for i := 0; ; i++ {
 		other := member.BoxID(fmt.Sprintf("reader-%d", i))
@@ -284,7 +284,7 @@
 	}
 }
 
-// More facts than one batch holds were taken for all of them, once the newest was among them.
+// Guards against treating one batch as complete because it contains the newest fact, while more facts follow.
 func TestPartialBatchIsNotComplete(t *testing.T) {
 	source, _ := newTestFleetState()
 	var facts []fleet.Fact
@@ -306,7 +306,7 @@
 	require.Len(t, follower.View().Servers("llm"), 2*maxBatchItems)
 }
 
-// The batches of a large answer come one after the other over one connection.
+// The batches of a large response are read in succession over one connection.
 func TestPullReadsAllBatches(t *testing.T) {
 	source, _ := newTestFleetState()
 	var facts []fleet.Fact
@@ -331,19 +331,19 @@
 	require.Len(t, follower.View().Servers("llm"), 2*maxBatchItems+1)
 }
 
-// Facts were asked of one box after the other, so that a silent one held up all others for
-// two and a half seconds.
+// Guards against pulling facts from one box at a time. An unresponsive box delayed the pull by two and a half
+// seconds.
 func TestUnresponsiveBoxDoesNotDelayPull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		facts := NewFleetState(clockwork.NewRealClock(), zerolog.Nop(), NewMetrics())
-		facts.Apply([]fleet.Fact{configurationFact(1, 1)}, "store")
+		fleetState := NewFleetState(clockwork.NewRealClock(), zerolog.Nop(), NewMetrics())
+		fleetState.Apply([]fleet.Fact{configurationFact(1, 1)}, "store")
 		status := func(box string) *wire.EntryStatus {
 			return &wire.EntryStatus{Box: box, Peers: box, Revision: 2, Ready: true}
 		}
-		boxes := newTestEntryBoxes(facts, status("silent"), status("sound"))
+		boxes := newTestEntryBoxes(fleetState, status("silent"), status("healthy"))
 		var once sync.Once
 		boxes.pull = func(ctx context.Context, from member.Address) error {
-			// Whoever is asked first is the silent one, so that the draw does not matter.
+			// The first box that is queried is the silent one, so that the random choice does not matter.
 			silent := false
 			once.Do(func() { silent = true })
 			if silent {
@@ -352,18 +352,18 @@
 				<-pullCtx.Done()
 				return pullCtx.Err()
 			}
-			facts.Apply([]fleet.Fact{configurationFact(2, 2)}, string(from))
+			fleetState.Apply([]fleet.Fact{configurationFact(2, 2)}, string(from))
 			return nil
 		}
 		defer func() { require.NoError(t, boxes.Stop(context.Background())) }()
 		boxes.tasks.Go(func(ctx context.Context) {
 			for ctx.Err() == nil {
 				boxes.updateBox("silent", status("silent"), time.Now())
-				boxes.updateBox("sound", status("sound"), time.Now())
-				sleep(ctx, facts.clock, statusHeartbeat)
+				boxes.updateBox("healthy", status("healthy"), time.Now())
+				sleep(ctx, fleetState.clock, statusHeartbeat)
 			}
 		})
 		boxes.tasks.Go(boxes.repair)
-		assert.LessOrEqual(t, awaitVersion(facts, 2), maxReadDelay)
+		assert.LessOrEqual(t, awaitVersion(fleetState, 2), maxReadDelay)
 	})
 }
--- a/internal/direct/repair.go
+++ b/internal/direct/repair.go
@@ -14,40 +14,39 @@
 )
 
 const (
-	// pullDelay is for how long another box must know more before its facts are asked for by a
-	// box that reads the store itself, or that would have to ask one of another region: most come
-	// from the store at the same moment, and then from a box of the own region. Two fifths of
-	// the facts crossed priced links when all were asked at once.
+	// pullDelay is how long another box must be ahead before its facts are pulled, if this box reads the store
+	// itself or if the other box is in another region. Most facts arrive from the store at the same moment, and
+	// then from a box of the own region. Without the delay, two fifths of the facts crossed priced links.
 	pullDelay = 300 * time.Millisecond
-	// pullTimeout bounds asking for facts: a configuration of thousands of routes
-	// takes some hundred milliseconds on the narrowest links.
+	// pullTimeout limits one pull of facts. A configuration with thousands of routes takes some hundred
+	// milliseconds on the narrowest links.
 	pullTimeout = 2500 * time.Millisecond
-	// pullHedgeDelay is after how long without an answer another box is asked too, and twice that
-	// for a third one: a change has to be in force in two seconds.
+	// pullHedgeDelay is the time without a response after which facts are also pulled from a second box, and after
+	// twice that from a third. A change must be in force within two seconds.
 	pullHedgeDelay = 300 * time.Millisecond
-	// maxConcurrentPulls bounds how many are asked at once, as a large configuration may be slow to
-	// come because the link is narrow.
+	// maxConcurrentPulls bounds the concurrent pulls, as a large configuration may be slow because the link is
+	// narrow.
 	maxConcurrentPulls = 3
 )
 
-// repairer is whom this box asks for facts that it does not know.
+// repairer pulls facts that this box lacks from other entry boxes.
 type repairer struct {
 	boxes *EntryBoxes
-	// behindSince is since when another box has known more; zero if none does.
+	// behindSince is the time since which another box has been ahead, or zero if none is.
 	behindSince time.Time
-	// pending are the boxes that have not answered yet, lastPull when the last one was asked.
+	// pending are the boxes that have not responded yet, and lastPull is when the last pull started.
 	pending  map[member.Address]bool
 	lastPull time.Time
 	results  chan pullResult
 }
 
-// pullResult is what became of asking another box.
+// pullResult is the result of one pull.
 type pullResult struct {
 	from member.Address
 	err  error
 }
 
-// repair asks another box for its facts when it has known more for a while.
+// repair pulls facts from another box when that box has been ahead for a while.
 func (e *EntryBoxes) repair(ctx context.Context) {
 	r := &repairer{boxes: e, pending: make(map[member.Address]bool), results: make(chan pullResult)}
 	ticker := e.clock.NewTicker(statusInterval)
@@ -56,10 +55,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case answer := <-r.results:
-			delete(r.pending, answer.from)
-			if answer.err != nil {
-				e.log.Warn().Str("address", string(answer.from)).Err(answer.err).Msg("facts not read from another entry box")
+		case result := <-r.results:
+			delete(r.pending, result.from)
+			if result.err != nil {
+				e.log.Warn().Str("address", string(result.from)).Err(result.err).Msg("failed to read facts from another entry box")
 			}
 		case <-ticker.Chan():
 			if from, ok := r.nextSource(e.clock.Now()); ok {
@@ -69,9 +68,9 @@
 	}
 }
 
-// nextSource returns whom to ask now; ok is false if nobody.
+// nextSource returns the box from which to pull now. ok is false if there is none.
 func (r *repairer) nextSource(now time.Time) (from member.Address, ok bool) {
-	newest, ok := r.boxes.pickNewer(r.pending)
+	source, ok := r.boxes.pickNewer(r.pending)
 	if !ok {
 		r.behindSince = time.Time{}
 		return "", false
@@ -79,19 +78,19 @@
 	if r.behindSince.IsZero() {
 		r.behindSince = now
 	}
-	switch waiting := len(r.pending); {
-	case waiting >= maxConcurrentPulls:
+	switch pending := len(r.pending); {
+	case pending >= maxConcurrentPulls:
 		return "", false
-	case waiting > 0:
-		return newest.Peers, now.Sub(r.lastPull) >= time.Duration(waiting)*pullHedgeDelay
-	case newest.Region != r.boxes.self.Region || r.boxes.isReader():
-		return newest.Peers, now.Sub(r.behindSince) >= pullDelay
+	case pending > 0:
+		return source.Peers, now.Sub(r.lastPull) >= time.Duration(pending)*pullHedgeDelay
+	case source.Region != r.boxes.self.Region || r.boxes.isReader():
+		return source.Peers, now.Sub(r.behindSince) >= pullDelay
 	default:
-		return newest.Peers, true
+		return source.Peers, true
 	}
 }
 
-// pull asks a box.
+// pull starts to pull facts from a box.
 func (r *repairer) pull(from member.Address) {
 	r.pending[from], r.lastPull, r.behindSince = true, r.boxes.clock.Now(), time.Time{}
 	r.boxes.tasks.Go(func(ctx context.Context) {
@@ -103,31 +102,31 @@
 	})
 }
 
-// pickNewer returns a box that knows more than this one and is not asked yet, one of the own
-// region if there is one; ok is false if none does. It is drawn, so that all that are behind
-// do not ask the same box for a large configuration.
-func (e *EntryBoxes) pickNewer(asked map[member.Address]bool) (newest EntryBox, ok bool) {
+// pickNewer returns a random box that is ahead of this one and is not excluded, and prefers boxes of the own
+// region. ok is false if there is none. The choice is random so that boxes that are behind do not all pull a large
+// configuration from the same box.
+func (e *EntryBoxes) pickNewer(exclude map[member.Address]bool) (source EntryBox, ok bool) {
 	own := e.fleetState.Watermarks()
-	var near, far []EntryBox
+	var local, remote []EntryBox
 	for _, box := range e.Boxes() {
 		switch {
-		case !own.isBehind(box.Watermarks) || asked[box.Peers]:
+		case !own.isBehind(box.Watermarks) || exclude[box.Peers]:
 		case box.Region == e.self.Region:
-			near = append(near, box)
+			local = append(local, box)
 		default:
-			far = append(far, box)
+			remote = append(remote, box)
 		}
 	}
-	if len(near) == 0 {
-		near = far
+	if len(local) == 0 {
+		local = remote
 	}
-	if len(near) == 0 {
+	if len(local) == 0 {
 		return EntryBox{}, false
 	}
-	return near[rand.IntN(len(near))], true
+	return local[rand.IntN(len(local))], true
 }
 
-// pullFacts is the pull of a running process.
+// pullFacts pulls all new facts from another entry box, batch by batch.
 func (e *EntryBoxes) pullFacts(ctx context.Context, from member.Address) error {
 	callCtx, cancel := clockwork.WithTimeout(ctx, e.clock, pullTimeout)
 	defer cancel()
@@ -136,7 +135,7 @@
 		return err
 	}
 	for {
-		began, cursor := e.clock.Now(), e.cursor(from)
+		startedAt, cursor := e.clock.Now(), e.cursor(from)
 		stream, err := wire.NewDRPCFleetClient(conn).Facts(callCtx, &wire.FactsRequest{
 			Box: string(e.self.Box), Instance: cursor.Instance, Cursor: cursor.Sequence, Once: true,
 		})
@@ -148,7 +147,7 @@
 			return err
 		}
 		own := e.fleetState.Watermarks()
-		e.log.Info().Str("address", string(from)).Dur("taken_ms", e.clock.Since(began)).Int("items", len(batch.Items)).
+		e.log.Info().Str("address", string(from)).Dur("taken_ms", e.clock.Since(startedAt)).Int("items", len(batch.Items)).
 			Uint64("newest", uint64(own.Newest)).Uint64("complete", uint64(own.Complete)).Msg("facts read from another entry box")
 		e.applyBatch(from, batch)
 		if len(batch.Items) < maxBatchItems {
@@ -157,19 +156,19 @@
 	}
 }
 
-// cursor returns how far the facts of another entry box were read.
+// cursor returns the position up to which the facts of another entry box were read.
 func (e *EntryBoxes) cursor(from member.Address) state.Cursor {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cursors[from]
 }
 
-// applyBatch takes facts of another entry box.
+// applyBatch merges a batch of facts of another entry box.
 func (e *EntryBoxes) applyBatch(from member.Address, batch *wire.FactsBatch) {
 	e.mu.Lock()
 	e.cursors[from] = state.Cursor{Instance: batch.Instance, Sequence: batch.Cursor}
 	e.mu.Unlock()
-	// The ages first: a name without one counts as an old one.
+	// Ages are merged before facts, because a version without an age gets the assumed age.
 	e.fleetState.MergeVersionAges(agesFromWire(batch.Ages), string(from))
 	e.fleetState.ApplyItems(itemsFromWire(batch.Items), string(from))
 	e.fleetState.MarkComplete(fleet.Revision(batch.Complete))
--- a/internal/direct/serverentry.go
+++ b/internal/direct/serverentry.go
@@ -11,7 +11,7 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// serverEntry is a server's entry and when it was written.
+// serverEntry is a server's entry and the revision at which it was written.
 type serverEntry struct {
 	fleet.Server
 	revision fleet.Revision
@@ -47,27 +47,27 @@
 		Uint64("revision", uint64(fact.Revision)).Str("from", from).Msg("server gone from the list")
 }
 
-// maxIncarnationSkew is by how much a server's start may lie ahead of this box's time of day: that may
-// jump by seconds. One that lies further ahead would keep the true one out until then.
+// maxIncarnationSkew is how far a server's incarnation may be ahead of this box's clock, which may jump by
+// seconds. An incarnation further ahead would block the true one until its time is reached.
 const maxIncarnationSkew = time.Minute
 
-// incarnationProblem says what is wrong with the start that an entry tells, given the one that is
-// known under its id, 0 if none is; empty if nothing is. An entry of an earlier start may be
-// written, or come, after one of a later start.
-func (f *FleetState) incarnationProblem(told, known member.Incarnation) string {
+// incarnationProblem describes what is wrong with the incarnation in an entry, given the known one of the same
+// server (0 if none). It returns an empty string if nothing is. An entry of an earlier incarnation may be written,
+// or arrive, after one of a later incarnation.
+func (f *FleetState) incarnationProblem(reported, known member.Incarnation) string {
 	switch {
-	case told < known:
+	case reported < known:
 		return "earlier start"
-	case told > member.Incarnation(f.clock.Now().Add(maxIncarnationSkew).UnixMilli()):
+	case reported > member.Incarnation(f.clock.Now().Add(maxIncarnationSkew).UnixMilli()):
 		return "start in the future"
 	}
 	return ""
 }
 
-// currentServers returns one server for each address, of the services that the
-// configuration names. One that was started anew may have another id, and the entry of the
-// start before stays for seconds: of several entries with one address that of the latest
-// start is right, and of these, or where the platform does not tell, the newest.
+// currentServers returns one server for each address, of the services in the configuration. A restarted server may
+// have another id, and the entry of its previous incarnation stays for seconds. Of several entries with one
+// address, the one with the latest incarnation is valid. If incarnations are equal or not reported, the newest
+// entry is valid.
 func (f *FleetState) currentServers(configuration *fleet.Configuration) []fleet.Server {
 	newest := make(map[member.Address]serverEntry, len(f.servers))
 	for id, server := range f.servers {
@@ -87,27 +87,28 @@
 	return servers
 }
 
-// supersedes reports whether an entry tells of a later start than another one.
-func (l *serverEntry) supersedes(other *serverEntry) bool {
-	if l.Incarnation != other.Incarnation {
-		return l.Incarnation > other.Incarnation
+// supersedes reports whether an entry belongs to a later incarnation than another one, or is newer within the same
+// incarnation.
+func (e *serverEntry) supersedes(other *serverEntry) bool {
+	if e.Incarnation != other.Incarnation {
+		return e.Incarnation > other.Incarnation
 	}
-	return l.revision > other.revision
+	return e.revision > other.revision
 }
 
-// isConfigured reports whether the configuration names the service of an entry. Without a check
-// an entry of another writer with the address of a server would hide that one.
+// isConfigured reports whether the service of an entry is in the configuration. Without this check, an entry that
+// another writer creates with the address of a server would hide that server.
 func (f *FleetState) isConfigured(configuration *fleet.Configuration, id fleet.ServerID, service member.Service) bool {
 	if configuration == nil || len(configuration.Services) == 0 {
 		return true
 	}
-	named := slices.ContainsFunc(configuration.Services, func(s fleet.Service) bool { return s.Name == service })
-	if named {
+	configured := slices.ContainsFunc(configuration.Services, func(s fleet.Service) bool { return s.Name == service })
+	if configured {
 		delete(f.unconfigured, service)
 	} else if !f.unconfigured[service] {
 		f.unconfigured[service] = true
 		f.log.Warn().Str("server", string(id)).Str("service", string(service)).Uint64("configuration", configuration.Version).
 			Msg("servers of a service that is not configured are passed over")
 	}
-	return named
+	return configured
 }
--- a/internal/direct/storereader.go
+++ b/internal/direct/storereader.go
@@ -13,76 +13,74 @@
 )
 
 const (
-	// overdueAfter is for how long after its time an answer is waited for before the store is
-	// called anew, on another connection. The store answers in milliseconds, and in a
-	// quarter of a second when it is slow.
+	// overdueAfter is how long a response may be overdue before the store is called again on another connection.
+	// The store responds within milliseconds, or a quarter of a second when it is slow.
 	overdueAfter = 300 * time.Millisecond
-	// storeCallTimeout bounds any call that does not wait. Others are made meanwhile, so it may be
-	// long against the answers of a slow store.
+	// storeCallTimeout limits each call, in addition to the time for which it waits for changes. It may be much
+	// longer than a slow response, because other calls are made meanwhile.
 	storeCallTimeout = 2 * time.Second
-	// storeRetryDelay is the wait after a waiting call that failed; up to as much is added at random.
+	// storeRetryDelay is the minimum delay after a failed long poll. A random delay of up to the same length is
+	// added.
 	storeRetryDelay = 100 * time.Millisecond
-	// probesPerSecond is how often the store is called while it is away, by all boxes
-	// together: the first one that gets an answer tells the others.
+	// probesPerSecond is the total rate at which all boxes call the store while it is down. The first box to get a
+	// response reports it to the others.
 	probesPerSecond = 10
-	// minProbeInterval and maxProbeInterval bound the time between two such calls of one box, which
-	// varies by a quarter. The longest is still below the time in which a change must be in
-	// force, for a box that is the only one to reach the store.
+	// minProbeInterval and maxProbeInterval bound the time between two probes of one box, which varies by a
+	// quarter. The maximum is below the time within which a change must be in force, for a box that is the only
+	// one to reach the store.
 	minProbeInterval = 300 * time.Millisecond
 	maxProbeInterval = 1500 * time.Millisecond
-	// maxProbesPerSecond goes before the longest pause when there are hundreds of boxes: it is a
-	// tenth of what the store takes.
+	// maxProbesPerSecond limits the total rate of probes and takes precedence over maxProbeInterval when there are
+	// hundreds of boxes. It is a tenth of the rate that the store can handle.
 	maxProbesPerSecond = 200
 )
 
-// readIntervals are how often the store is read.
+// readIntervals are the intervals at which the store is read.
 type readIntervals struct {
-	// longPoll is how long one call waits for changes. Each call is priced, but one whose
-	// connection has gone silent, or that waits while the store drops its history, hears
-	// nothing.
+	// longPoll is how long one call waits for changes. Calls are priced, so they should be long. A call receives
+	// nothing if its connection has failed silently, or if the store drops its history meanwhile.
 	longPoll time.Duration
-	// batchDelay is waited after a change, so that changes in quick succession take one call.
+	// batchDelay is the delay after a change, so that changes in quick succession need only one call.
 	batchDelay time.Duration
 }
 
 const (
-	// longPollDivisor and batchDelayDivisor are the parts of the time in which a change must be in force:
-	// half of it is for reading the change, half for telling the others.
+	// longPollDivisor and batchDelayDivisor divide the time within which a change must be in force. Half of that
+	// time is for reading the change, and half for reporting it to other processes.
 	longPollDivisor   = 2
 	batchDelayDivisor = 8
-	// maxLongPoll bounds a call in any case: connections that rest for longer may be closed on
-	// their way.
+	// maxLongPoll is the longest wait of one call. Network devices may close connections that are idle for longer.
 	maxLongPoll = 10 * time.Second
 )
 
-// readIntervalsFor returns how often the store is read if a change must be in force in a time. Each
-// call is priced, so it lasts as long as that allows.
+// readIntervalsFor returns the intervals for a time within which a change must be in force. Calls are priced, so
+// each lasts as long as that time allows.
 func readIntervalsFor(changeBound time.Duration) readIntervals {
 	return readIntervals{longPoll: min(maxLongPoll, changeBound/longPollDivisor), batchDelay: min(maxLongPoll, changeBound) / batchDelayDivisor}
 }
 
-// readerTimeout is after how long without an answer of the store a reader no longer counts: it is
-// longer than one call, and a call in place of one that is overdue.
-func (t readIntervals) readerTimeout() time.Duration {
-	return t.longPoll + overdueAfter + minProbeInterval + statusHeartbeat
+// readerTimeout returns the time without a response from the store after which a reader no longer counts as
+// active. It is longer than one call and a replacement for an overdue one.
+func (i readIntervals) readerTimeout() time.Duration {
+	return i.longPoll + overdueAfter + minProbeInterval + statusHeartbeat
 }
 
-// storeReader is how far one reader has come in the store's changes.
+// storeReader reads the changes of the store for one process.
 type storeReader struct {
 	fleetState *FleetState
 	source     provider.FactSource
 	after      fleet.Revision
-	// shouldRead reports whether this process is to read the store.
+	// shouldRead reports whether this process has to read the store.
 	shouldRead func() bool
-	// probeInterval is the time between two calls while the store is away.
+	// probeInterval returns the time between two calls while the store is down.
 	probeInterval func() time.Duration
 	intervals     readIntervals
-	// tokens is how many changes may be followed at once by the next call, as of refilledAt.
+	// tokens is the number of changes that the next calls may follow immediately, as of refilledAt.
 	tokens     float64
 	refilledAt time.Time
 }
 
-// storeResponse is what became of one call.
+// storeResponse is the result of one call of the store.
 type storeResponse struct {
 	call     string
 	snapshot bool
@@ -92,14 +90,14 @@
 	err      error
 }
 
-// ReadStore follows the store for as long as wanted holds. While the store is away it is
-// called once in each probeInterval.
-func (f *FleetState) ReadStore(source provider.FactSource, times readIntervals, wanted func() bool, probePause func() time.Duration) {
+// ReadStore reads the store's changes while shouldRead returns true. While the store is down, it is called once
+// per probeInterval.
+func (f *FleetState) ReadStore(source provider.FactSource, intervals readIntervals, shouldRead func() bool, probeInterval func() time.Duration) {
 	f.tasks.Go(func(ctx context.Context) {
-		reader := &storeReader{fleetState: f, source: source, intervals: times, shouldRead: wanted, probeInterval: probePause}
+		reader := &storeReader{fleetState: f, source: source, intervals: intervals, shouldRead: shouldRead, probeInterval: probeInterval}
 		for ctx.Err() == nil {
-			if !wanted() {
-				sleep(ctx, f.clock, times.batchDelay)
+			if !shouldRead() {
+				sleep(ctx, f.clock, intervals.batchDelay)
 				continue
 			}
 			reader.readOnce(ctx)
@@ -107,37 +105,38 @@
 	})
 }
 
-// probeIntervalFor is the time between two calls of each of some boxes while the store is away.
+// probeIntervalFor returns the time between two probes of one box, given the number of boxes that probe the store.
 func probeIntervalFor(boxes int) time.Duration {
-	all := time.Duration(boxes) * time.Second
-	return max(min(max(all/probesPerSecond, minProbeInterval), maxProbeInterval), all/maxProbesPerSecond)
+	sharedInterval := time.Duration(boxes) * time.Second
+	return max(min(max(sharedInterval/probesPerSecond, minProbeInterval), maxProbeInterval), sharedInterval/maxProbesPerSecond)
 }
 
-// readOnce reads what has changed, and takes it.
+// readOnce reads the next changes and applies them.
 func (r *storeReader) readOnce(ctx context.Context) {
 	f := r.fleetState
-	answer, ok := r.read(ctx)
+	response, ok := r.read(ctx)
 	if !ok {
 		return
 	}
-	if answer.err != nil {
-		f.log.Warn().Uint64("after", uint64(answer.after)).Err(answer.err).Msg("store history gone, reading everything")
+	if response.err != nil {
+		f.log.Warn().Uint64("after", uint64(response.after)).Err(response.err).Msg("store history is compacted; reading a snapshot")
 		r.after = 0
 		return
 	}
 	isFirst := f.StoreRespondedAt().IsZero()
 	f.noteStoreResponse()
-	r.apply(&answer, isFirst)
-	if len(answer.facts.Facts) > 0 && !answer.snapshot && !r.takeToken(f.clock.Now()) {
+	r.apply(&response, isFirst)
+	if len(response.facts.Facts) > 0 && !response.snapshot && !r.takeToken(f.clock.Now()) {
 		sleep(ctx, f.clock, r.intervals.batchDelay)
 	}
 }
 
-// readBurst is how many changes in succession are each read at once before they are gathered.
-// A version may be named right after changes of the configuration, and copies of it wait for that.
+// readBurst is the number of changes in succession that are read immediately, before changes are batched. A
+// version may be published right after changes of the configuration, and downloads of the version wait for its
+// publication.
 const readBurst = 4
 
-// takeToken reports whether the next call need not wait for more changes: few came lately.
+// takeToken reports whether the next call may be made immediately, because few changes came recently.
 func (r *storeReader) takeToken(now time.Time) bool {
 	if r.refilledAt.IsZero() {
 		r.tokens = readBurst
@@ -152,11 +151,10 @@
 	return true
 }
 
-// read calls the store until it answers; ok is false if the context has ended or the store is
-// not to be read any more. An answer that is overdue is waited for no longer than it takes
-// to get one by another call: the connection may have gone silent, or the store may be back
-// that had swallowed the call.
-func (r *storeReader) read(ctx context.Context) (answer storeResponse, ok bool) {
+// read calls the store until it responds. ok is false if the context has ended or the store no longer has to be
+// read. An overdue call stays open only until another call gets a response: its connection may have failed
+// silently, or the store may have recovered after it lost the call.
+func (r *storeReader) read(ctx context.Context) (response storeResponse, ok bool) {
 	f := r.fleetState
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -164,91 +162,91 @@
 	if f.isStoreDown() {
 		wait = 0
 	}
-	answers, waiting := make(chan storeResponse), 1
-	first := r.startCall(ctx, wait, answers)
-	next := f.clock.Now().Add(wait + overdueAfter)
+	responses, pending := make(chan storeResponse), 1
+	first := r.startCall(ctx, wait, responses)
+	nextCallAt := f.clock.Now().Add(wait + overdueAfter)
 	for {
 		select {
 		case <-ctx.Done():
 			return storeResponse{}, false
-		case answer = <-answers:
-			if answer.err == nil || errors.Is(answer.err, provider.ErrCompacted) {
-				return answer, true
+		case response = <-responses:
+			if response.err == nil || errors.Is(response.err, provider.ErrCompacted) {
+				return response, true
 			}
-			waiting--
-			r.callFailed(&answer, "failed")
-			if answer.started.Equal(first.started) {
-				next = f.clock.Now().Add(storeRetryDelay + rand.N(storeRetryDelay))
+			pending--
+			r.callFailed(&response, "failed")
+			if response.started.Equal(first.started) {
+				nextCallAt = f.clock.Now().Add(storeRetryDelay + rand.N(storeRetryDelay))
 			}
-		case <-f.clock.After(next.Sub(f.clock.Now())):
+		case <-f.clock.After(nextCallAt.Sub(f.clock.Now())):
 			if !r.shouldRead() {
 				return storeResponse{}, false
 			}
-			if waiting > 0 {
+			if pending > 0 {
 				first.err = errOverdue
 				r.callFailed(&first, "overdue")
 			}
 			r.source.Reconnect()
-			r.startCall(ctx, 0, answers)
-			waiting++
-			next = f.clock.Now().Add(jittered(r.probeInterval()))
+			r.startCall(ctx, 0, responses)
+			pending++
+			nextCallAt = f.clock.Now().Add(jittered(r.probeInterval()))
 		}
 	}
 }
 
-// errOverdue reports a call that was not answered in its time.
-var errOverdue = errors.New("answer is overdue")
+// errOverdue is the error of a call that got no response in time.
+var errOverdue = errors.New("response is overdue")
 
-// jittered returns a pause that differs by up to a quarter, so that boxes do not call together.
-func jittered(pause time.Duration) time.Duration { return pause*3/4 + rand.N(pause/2) }
+// jittered returns an interval that differs by up to a quarter, so that boxes do not call at the same time.
+func jittered(interval time.Duration) time.Duration { return interval*3/4 + rand.N(interval/2) }
 
-// startCall begins one call of the store, which waits for changes at most for a time, and returns
-// what is known of it.
-func (r *storeReader) startCall(ctx context.Context, wait time.Duration, answers chan<- storeResponse) storeResponse {
-	answer := storeResponse{call: "changes", snapshot: r.after == 0, started: r.fleetState.clock.Now(), after: r.after}
-	if answer.snapshot {
-		answer.call = "snapshot"
+// startCall starts one call of the store, which waits for changes for at most the given time. It returns the state
+// of the call at its start, and sends the result to responses.
+func (r *storeReader) startCall(ctx context.Context, wait time.Duration, responses chan<- storeResponse) storeResponse {
+	response := storeResponse{call: "changes", snapshot: r.after == 0, started: r.fleetState.clock.Now(), after: r.after}
+	if response.snapshot {
+		response.call = "snapshot"
 	}
-	begun := answer
+	pending := response
 	r.fleetState.tasks.Go(func(context.Context) {
 		callCtx, cancel := clockwork.WithTimeout(ctx, r.fleetState.clock, wait+storeCallTimeout)
 		defer cancel()
-		if answer.snapshot {
-			answer.facts, answer.err = r.source.Snapshot(callCtx)
+		if response.snapshot {
+			response.facts, response.err = r.source.Snapshot(callCtx)
 		} else {
-			answer.facts, answer.err = r.source.Changes(callCtx, answer.after, wait)
+			response.facts, response.err = r.source.Changes(callCtx, response.after, wait)
 		}
 		select {
-		case answers <- answer:
+		case responses <- response:
 		case <-ctx.Done():
 		}
 	})
-	return begun
+	return pending
 }
 
-// callFailed notes a call that gave nothing, or nothing in its time.
-func (r *storeReader) callFailed(answer *storeResponse, result string) {
-	r.fleetState.metrics.storeCalls.WithLabelValues(answer.call, result).Inc()
-	r.fleetState.noteStoreFailure(answer.call, answer.started, answer.err)
+// callFailed records a call that failed or is overdue.
+func (r *storeReader) callFailed(response *storeResponse, result string) {
+	r.fleetState.metrics.storeCalls.WithLabelValues(response.call, result).Inc()
+	r.fleetState.noteStoreFailure(response.call, response.started, response.err)
 }
 
-// apply takes what a call has read, the first one of the process or a later one.
-func (r *storeReader) apply(answer *storeResponse, isFirst bool) {
-	f, got := r.fleetState, answer.facts
-	f.metrics.storeCalls.WithLabelValues(answer.call, "done").Inc()
-	if answer.snapshot || len(got.Facts) > 0 {
-		f.log.Info().Str("call", answer.call).Uint64("after", uint64(answer.after)).Uint64("at", uint64(got.Revision)).Int("facts", len(got.Facts)).
-			Dur("taken_ms", f.clock.Since(answer.started)).Msg("facts read from the store")
+// apply applies the result of a call. isFirst is set for the first result of the process.
+func (r *storeReader) apply(response *storeResponse, isFirst bool) {
+	f, batch := r.fleetState, response.facts
+	f.metrics.storeCalls.WithLabelValues(response.call, "done").Inc()
+	if response.snapshot || len(batch.Facts) > 0 {
+		f.log.Info().Str("call", response.call).Uint64("after", uint64(response.after)).Uint64("at", uint64(batch.Revision)).Int("facts", len(batch.Facts)).
+			Dur("taken_ms", f.clock.Since(response.started)).Msg("facts read from the store")
 	}
-	f.logFindings(got.Errors, answer.snapshot)
-	if answer.snapshot {
-		got.Facts = append(got.Facts, f.impliedDeletions(got)...)
+	f.logFindings(batch.Errors, response.snapshot)
+	if response.snapshot {
+		batch.Facts = append(batch.Facts, f.impliedDeletions(batch)...)
 	}
 	apply := f.Apply
 	if isFirst {
 		apply = f.ApplyInitial
 	}
-	apply(f.deferExpired(got.Facts), "store")
-	f.MarkComplete(got.Revision)
-	r.after = max(r.after, got.Revision)
+	apply(f.deferExpired(batch.Facts), "store")
+	f.MarkComplete(batch.Revision)
+	r.after = max(r.after, batch.Revision)
 }
--- a/internal/direct/versionages.go
+++ b/internal/direct/versionages.go
@@ -9,29 +9,28 @@
 	"github.com/cinderslip/cinderslip/pkg/fleet"
 )
 
-// The platform's store does not say when a version of weights was named. A process
-// that starts afterwards can only guess, and one that stood still or was cut off
-// hears of it late. So processes tell each other how old the versions are that they
-// heard of as they were named.
+// The platform's store does not contain the time at which a version of weights was published. A process that
+// starts later can only assume it, and a process that was suspended or disconnected receives the version late.
+// Processes therefore report to each other the ages of the versions whose publication they observed.
 
 const (
-	// maxAgesReported is how many versions of a model are told, the newest first. Each
-	// bars those before it, so older ones decide nothing any more.
+	// maxAgesReported is the number of versions of a model, newest first, whose ages are reported. Each version
+	// sets the cutoff for those before it, so older ones have no effect any more.
 	maxAgesReported = 3
-	// ageTolerance is by how much sooner another process must have heard of a
-	// version to be believed: less is the time that messages take.
+	// ageTolerance is how much earlier another process must have observed a version for its age to be accepted.
+	// Smaller differences are due to message latency.
 	ageTolerance = 20 * time.Millisecond
 )
 
-// VersionAges returns how long ago versions were named, where that is known.
+// VersionAges returns the ages of the versions whose publication was observed, here or by another process.
 func (f *FleetState) VersionAges() []fleet.VersionAge {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	var ages []fleet.VersionAge
 	for _, model := range slices.Sorted(maps.Keys(f.published)) {
-		named := f.published[model]
-		for _, version := range named[max(0, len(named)-maxAgesReported):] {
+		published := f.published[model]
+		for _, version := range published[max(0, len(published)-maxAgesReported):] {
 			if version.Observed {
 				ages = append(ages, fleet.VersionAge{Model: model, Version: version.Version, Age: now.Sub(version.PublishedAt)})
 			}
@@ -40,50 +39,49 @@
 	return ages
 }
 
-// ageChangeCount changes with every version that is heard of and every age that is corrected; others
-// are told of the ages then. The number of versions would not do, as only the last are kept.
+// ageChangeCount returns the number of new versions and corrected ages so far. Ages are reported again when it
+// changes. The number of versions could not serve for this, as only the last ones are kept.
 func (f *FleetState) ageChangeCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ageChanges
 }
 
-// MergeVersionAges takes what another process tells of the versions that it heard of as they were
-// named: their ages, and those versions that this one has not heard of itself. It need not wait
-// for the facts then, which come from the own region first: where the box is cut off that reads
-// the store there, agents would hear of a version too late to copy it from an origin that goes away soon.
+// MergeVersionAges merges the ages of versions whose publication another process observed, and adds the versions
+// that this process does not know. Their facts come from the own region first, and may be late: if the box that
+// reads the store there is disconnected, agents could receive a version too late to download it from an origin
+// that leaves soon.
 func (f *FleetState) MergeVersionAges(ages []fleet.VersionAge, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	learned := false
+	changed := false
 	for _, age := range ages {
 		if f.mergeVersionAge(age, from) {
-			learned = true
+			changed = true
 		}
 	}
-	if learned {
+	if changed {
 		f.setView(f.View().WithPublishedVersions(maps.Clone(f.published)))
 	}
 }
 
-// mergeVersionAge takes one version, and reports whether that changes anything. The lock must be
-// held.
+// mergeVersionAge merges the age of one version and reports whether anything changed. The lock must be held.
 func (f *FleetState) mergeVersionAge(age fleet.VersionAge, from string) bool {
-	now, named := f.clock.Now(), f.published[age.Model]
-	since := now.Add(-age.Age)
-	if named.Lacks(age.Version) {
-		// Also one that is older than the newest: it bars those before it sooner than the newest does.
-		// The store holds only the newest name, so a box that started after two of them, 4 s after each other,
-		// barred the first weights 4 s late.
+	now, published := f.clock.Now(), f.published[age.Model]
+	publishedAt := now.Add(-age.Age)
+	if published.Lacks(age.Version) {
+		// A version older than the newest one is added too, because its cutoff for the versions before it is
+		// earlier. The store contains only the newest version. A box that started after two publications, 4 s apart,
+		// applied the cutoff of the weights before them 4 s late.
 		f.ageChanges++
-		f.published[age.Model] = named.With(fleet.PublishedVersion{Version: age.Version, PublishedAt: since, Observed: true})
+		f.published[age.Model] = published.With(fleet.PublishedVersion{Version: age.Version, PublishedAt: publishedAt, Observed: true})
 		f.log.Info().Str("model", string(age.Model)).Uint64("version", uint64(age.Version)).Dur("age_ms", age.Age).Str("from", from).Msg("weights wanted")
 		return true
 	}
-	corrected, ok := named.Corrected(age.Version, since, ageTolerance)
+	corrected, ok := published.Corrected(age.Version, publishedAt, ageTolerance)
 	if ok {
 		f.log.Info().Str("model", string(age.Model)).Uint64("version", uint64(age.Version)).Dur("age_ms", age.Age).
-			Dur("believed_ms", now.Sub(named.PublishedAt(age.Version))).Str("from", from).Msg("age of wanted weights corrected")
+			Dur("believed_ms", now.Sub(published.PublishedAt(age.Version))).Str("from", from).Msg("age of wanted weights corrected")
 		f.ageChanges++
 		f.published[age.Model] = corrected
 	}
@@ -91,18 +89,18 @@
 }
 
 func agesToWire(ages []fleet.VersionAge) []*wire.VersionAge {
-	told := make([]*wire.VersionAge, 0, len(ages))
+	messages := make([]*wire.VersionAge, 0, len(ages))
 	for _, age := range ages {
-		told = append(told, &wire.VersionAge{
+		messages = append(messages, &wire.VersionAge{
 			Model: string(age.Model), Version: uint64(age.Version), AgeMilliseconds: uint64(age.Age.Milliseconds()),
 		})
 	}
-	return told
+	return messages
 }
 
-func agesFromWire(told []*wire.VersionAge) []fleet.VersionAge {
-	ages := make([]fleet.VersionAge, 0, len(told))
-	for _, age := range told {
+func agesFromWire(messages []*wire.VersionAge) []fleet.VersionAge {
+	ages := make([]fleet.VersionAge, 0, len(messages))
+	for _, age := range messages {
 		ages = append(ages, fleet.VersionAge{
 			Model: fleet.ModelName(age.Model), Version: fleet.WeightsVersion(age.Version),
 			Age: time.Duration(age.AgeMilliseconds) * time.Millisecond,
