--- a/internal/direct/chunks.go
+++ b/internal/direct/chunks.go
@@ -10,33 +10,32 @@
 )
 
 const (
-	// chunkLinkShare is the part of the box's link that pieces may take; the rest is
-	// for the answers of the backend server beside it, which take less than 5% of it.
+	// chunkLinkShare is the share of the box's link that chunks may use. The rest is for the responses of
+	// the backend server on the same box, which take less than 5% of the link.
 	chunkLinkShare = 0.85
-	// maxConcurrentChunks is how many pieces are sent at once: one after the other comes sooner,
-	// and two leave no gap between them.
+	// maxConcurrentChunks limits the number of chunks that are sent at once. Each chunk arrives sooner if
+	// chunks are sent one after the other; a second one fills the gap between two chunks.
 	maxConcurrentChunks = 2
-	// chunkFrameSize is the size of the frames in which a piece is sent, in bytes. One
-	// holds up an answer on the link for a few milliseconds.
+	// chunkFrameSize is the maximum size of a frame of a chunk, in bytes. A frame of this size delays a
+	// response on the same link by a few milliseconds.
 	chunkFrameSize = 4 << 10
-	// bytesPerMbit converts rates.
+	// bytesPerMbit converts a rate in Mbit/s to bytes per second.
 	bytesPerMbit = 1e6 / 8
 )
 
-// ChunkServer gives other agents the pieces that this one holds, at a pace that
-// leaves room on the link. It implements the drpc service Chunks.
+// ChunkServer serves the chunks that this agent holds to other agents, at a rate that leaves
+// part of the link to requests. It implements the drpc service Chunks.
 type ChunkServer struct {
 	wire.DRPCChunksUnimplementedServer
 
 	store   *weights.MemoryStore
 	limiter *rate.Limiter
 	slots   chan struct{}
-	// isIdle reports whether the backend server has nothing to answer, so that the
-	// whole link is free.
+	// isIdle reports whether the backend server has no requests. Chunks are then sent without a rate limit.
 	isIdle func() bool
 }
 
-// NewChunkServer returns a server for what a store holds, on a link of a rate in
+// NewChunkServer returns a server for the chunks in a store. linkMbps is the rate of the box's link, in
 // Mbit/s.
 func NewChunkServer(store *weights.MemoryStore, linkMbps float64, isIdle func() bool) *ChunkServer {
 	return &ChunkServer{
@@ -45,7 +44,7 @@
 	}
 }
 
-// Holdings tells which pieces of a version are held.
+// Holdings returns the set of chunks that this agent holds of the version with the requested manifest digest.
 func (s *ChunkServer) Holdings(_ context.Context, request *wire.HoldingsRequest) (*wire.HoldingsResponse, error) {
 	digest, err := weights.DigestFromBytes(request.Manifest)
 	if err != nil {
@@ -54,7 +53,7 @@
 	return &wire.HoldingsResponse{Held: s.store.Held(digest)}, nil
 }
 
-// Fetch sends one piece in frames.
+// Fetch streams one chunk in frames of at most chunkFrameSize bytes.
 func (s *ChunkServer) Fetch(request *wire.FetchRequest, stream wire.DRPCChunks_FetchStream) error {
 	digest, err := weights.DigestFromBytes(request.Manifest)
 	if err != nil {
--- a/internal/direct/deployment_test.go
+++ b/internal/direct/deployment_test.go
@@ -30,11 +30,12 @@
 	chunkSize     = 2000
 	events        = 10
 	eventInterval = 20 * time.Millisecond
-	// retryExtra lets a box that has just started retry what a script needs.
+	// retryExtra is the additional retry budget of each box. It allows a box that has just started all the
+	// retries that a script needs.
 	retryExtra = 1000.0
 )
 
-// testDeployment is a small deployment in this process.
+// testDeployment is a deployment of a few entry boxes, agents and backend servers in this process.
 type testDeployment struct {
 	t             *testing.T
 	store         *standin.Store
@@ -55,13 +56,14 @@
 	loadResults loadResults
 	// requestCount numbers the requests of commands that make several.
 	requestCount atomic.Int64
-	// restarts are the servers that have crashed and will start again.
+	// restarts counts the crashed servers that have yet to restart.
 	restarts sync.WaitGroup
 
 	mu      sync.Mutex
 	streams map[string]chan error
 }
 
+// testServer is the stand-in of a backend server and its entry in the store.
 type testServer struct {
 	*standin.Server
 	host    *standin.Host
@@ -82,22 +84,22 @@
 	return w
 }
 
-// deploymentCount counts the worlds of this process, so that each has addresses of its own.
+// deploymentCount counts the deployments of this process, so that each has its own addresses.
 var deploymentCount atomic.Int32
 
-// ip returns an address that no other world uses, nor one of another test process.
+// ip returns an address that no other deployment uses, in this test process or another one.
 func (w *testDeployment) ip(group, n int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 20+os.Getpid()%200, w.number, 50*group+n)
 }
 
-// The groups of addresses.
+// Groups of addresses within a deployment.
 const (
 	groupModel = iota
 	groupEntry
 	groupPlain
 )
 
-// The ports, alike on all boxes.
+// Ports of the processes, the same on all boxes.
 const (
 	portPeers = 18000 + iota
 	portCallers
@@ -107,6 +109,7 @@
 	portMetrics
 )
 
+// serve starts an HTTP server that runs until close, and returns its address.
 func (w *testDeployment) serve(address string, handler http.Handler) string {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp", address)
@@ -118,6 +121,7 @@
 	return listener.Addr().String()
 }
 
+// close stops all processes and servers.
 func (w *testDeployment) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -133,20 +137,20 @@
 	}
 }
 
-// cmdPlatform starts servers and writes the first configuration:
-// platform models=2 plain=1.
+// cmdPlatform starts model servers and plain servers and writes the first configuration: platform models=2 plain=1.
 func (w *testDeployment) cmdPlatform(args []string) error {
-	given := parseOptions(args)
-	for i := range parseInt(given["models"], 0) {
+	options := parseOptions(args)
+	for i := range parseInt(options["models"], 0) {
 		w.addServer(fmt.Sprintf("model-%d", i+1), "llm", w.ip(groupModel, i+1)+":0", "daka")
 	}
-	for i := range parseInt(given["plain"], 0) {
+	for i := range parseInt(options["plain"], 0) {
 		w.addServer(fmt.Sprintf("plain-%d", i+1), "maps", w.ip(groupPlain, i+1)+":0", "")
 	}
 	w.putConfig(1, []string{"key-1", "key-2"})
 	return nil
 }
 
+// addServer starts a backend server and writes its entry to the store. The model is empty for a plain server.
 func (w *testDeployment) addServer(name, service, address, model string) {
 	s := &testServer{id: "i-" + name, service: service}
 	version := uint64(0)
@@ -166,7 +170,7 @@
 	w.store.Put("servers/"+s.id, s.Entry(service, s.address, "hall-a", false))
 }
 
-// putConfig writes a configuration with three routes.
+// putConfig writes a configuration with four routes, three services and one organisation.
 func (w *testDeployment) putConfig(version int, keys []string) {
 	route := func(name, path, kind, service string, timeout, attempts int, resumable bool) map[string]any {
 		return map[string]any{
@@ -207,7 +211,7 @@
 	return nil
 }
 
-// cmdPublish names new weights: name 2.
+// cmdPublish publishes a version of the weights: name 2.
 func (w *testDeployment) cmdPublish(args []string) error {
 	w.version = uint64(parseInt(args[0], 1))
 	raw, err := json.Marshal(map[string]any{"Model": "daka", "Version": w.version})
@@ -215,6 +219,7 @@
 	return err
 }
 
+// settings returns the settings of a process.
 func (w *testDeployment) settings(role settings.Role, box, ip string, peersPort int) *settings.Settings {
 	loaded := &settings.Settings{
 		Role: role, Mode: settings.ModeDirect, Box: box, Region: "riga", FailureDomain: "hall-a",
@@ -230,7 +235,8 @@
 	return loaded
 }
 
-// cmdEntry starts entry boxes: entry entry-1 entry-2. They know of the first one.
+// cmdEntry starts entry boxes, or restarts stopped ones with their old settings: entry entry-1 entry-2. The settings
+// of a new box list itself and all boxes that were started before it.
 func (w *testDeployment) cmdEntry(args []string) error {
 	for _, name := range args {
 		if old := w.settingsByName[name]; old != nil {
@@ -269,6 +275,7 @@
 	return nil
 }
 
+// start starts a process.
 func (w *testDeployment) start(name string, loaded *settings.Settings) error {
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	adapter := platform.New(platform.Addresses{Store: member.Address(w.storeAddress), Server: member.Address(loaded.Direct.Server)}, client)
@@ -282,15 +289,16 @@
 	return nil
 }
 
-// cmdStop ends a process in a planned stop: end entry-1.
+// cmdStop stops a process in a planned stop: end entry-1.
 func (w *testDeployment) cmdStop(args []string) error {
 	process := w.processes[args[0]]
 	delete(w.processes, args[0])
 	return process.Stop(context.Background())
 }
 
-// cmdStore sets a fault or forgets the history: store refuse, store sound, store
-// compact, store remove SERVER, store draining SERVER, store ready SERVER.
+// cmdStore controls the store: it sets a fault (store refuse, store deaf), clears it (store sound), compacts the
+// history (store compact), removes the entry of a server (store remove SERVER) or writes it with a state
+// (store draining SERVER, store ready SERVER).
 func (w *testDeployment) cmdStore(args []string) error {
 	switch args[0] {
 	case "sound":
@@ -308,31 +316,39 @@
 	return nil
 }
 
-// cmdServer sets a server's fault: server model-1 cut=4, server plain-1 status=500,
-// server plain-1 mute, server plain-1 limit=1.9, server plain-1 dead, server model-1
-// restart=i-new, server model-1 restart=same, server model-1 leaving, server plain-1 rest=5 (the time that
-// it wants to be left alone for, as it writes it).
+// cmdServer sets the faults and signals of a server. It clears those that are not given, except leaving and dead:
+//
+//	server model-1 cut=4             breaks streams off at event 4
+//	server plain-1 status=500        responds with this status
+//	server plain-1 mute              runs requests without responding
+//	server plain-1 limit=1.9         advertises this rate limit, per second
+//	server plain-1 rest=5            rejects requests with this Retry-After value
+//	server model-1 leaving           announces its end in its responses
+//	server plain-1 dead              stops listening
+//	server model-1 restart=i-new     restarts under a new id
+//	server model-1 restart=same      restarts under its old id without weights
+//	server model-1 restart=same version=1   restarts under its old id with version 1
 func (w *testDeployment) cmdServer(args []string) error {
-	s, given := w.servers[args[0]], parseOptions(args[1:])
-	s.TruncateStreamAt(parseInt(given["cut"], 0))
-	s.SetErrorStatus(parseInt(given["status"], 0))
-	_, mute := given["mute"]
+	s, options := w.servers[args[0]], parseOptions(args[1:])
+	s.TruncateStreamAt(parseInt(options["cut"], 0))
+	s.SetErrorStatus(parseInt(options["status"], 0))
+	_, mute := options["mute"]
 	s.SetUnresponsive(mute)
-	if _, leaving := given["leaving"]; leaving {
+	if _, leaving := options["leaving"]; leaving {
 		s.SetLeaving(true)
 	}
-	s.SetRetryAfter(given["rest"])
-	s.SetRateLimit(given["limit"])
-	if _, dead := given["dead"]; dead {
+	s.SetRetryAfter(options["rest"])
+	s.SetRateLimit(options["limit"])
+	if _, dead := options["dead"]; dead {
 		return s.host.StopListening()
 	}
-	switch id := given["restart"]; id {
+	switch id := options["restart"]; id {
 	case "":
 	case "same":
-		// Its entry tells of the start before until the server writes again, as it may not
-		// for a while.
+		// The entry in the store is not updated: it describes the incarnation before until the server
+		// writes again, which may take a while.
 		s.Restart(s.id)
-		s.SetVersion(uint64(parseInt(given["version"], 0)))
+		s.SetVersion(uint64(parseInt(options["version"], 0)))
 	default:
 		w.store.Remove("servers/" + s.id)
 		s.id = id
@@ -342,7 +358,8 @@
 	return nil
 }
 
-// cmdForeignEntries writes entries as other writers may.
+// cmdForeignEntries writes entries as other writers of the store may: incomplete or invalid ones, and one of an
+// unknown service with the address of a model server.
 func (w *testDeployment) cmdForeignEntries([]string) error {
 	for i, entry := range []string{
 		`{"Service":"llm","Zone":"hall-a","Slots":4,"State":"ready"}`,
@@ -356,22 +373,23 @@
 	return nil
 }
 
-// cmdOrigin spoils pieces: origin spoil=3, or bounds what was sent: origin most=9.
+// cmdOrigin corrupts the next chunks that the origin sends (origin spoil=3), or checks that it has sent at most a
+// number of chunks (origin most=9).
 func (w *testDeployment) cmdOrigin(args []string) error {
-	given := parseOptions(args)
-	if most := parseInt(given["most"], 0); most > 0 && w.origin.Sent() > most {
-		return fmt.Errorf("the origin sent %d pieces, want at most %d", w.origin.Sent(), most)
+	options := parseOptions(args)
+	if limit := parseInt(options["most"], 0); limit > 0 && w.origin.Sent() > limit {
+		return fmt.Errorf("origin sent %d chunks, want at most %d", w.origin.Sent(), limit)
 	}
-	w.origin.CorruptNext(parseInt(given["spoil"], 0))
+	w.origin.CorruptNext(parseInt(options["spoil"], 0))
 	return nil
 }
 
-// request sends a caller's request to an entry box.
+// request sends a request to an entry box as a caller does.
 func (w *testDeployment) request(entry, id, path, key string) (*http.Response, error) {
 	return w.requestBody(entry, id, path, key, "draft")
 }
 
-// requestBody is request with a body of its own.
+// requestBody sends a request with the given body to an entry box.
 func (w *testDeployment) requestBody(entry, id, path, key, body string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+w.settingsByName[entry].Listen.Callers+path, strings.NewReader(body))
 	if err != nil {
@@ -386,8 +404,8 @@
 	return client.Do(request)
 }
 
-// wholeStream reads a stream and checks that each event came once, in order.
-func (w *testDeployment) wholeStream(entry, id string) error {
+// checkStream requests a stream and checks that each event is received once, in order.
+func (w *testDeployment) checkStream(entry, id string) error {
 	response, err := w.request(entry, id, "/talk/1", "key-1")
 	if err != nil {
 		return err
@@ -395,7 +413,7 @@
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return fmt.Errorf("stream %s broke off after %q: %w", id, body, err)
+		return fmt.Errorf("reading stream %s after %q: %w", id, body, err)
 	}
 	var want strings.Builder
 	for event := range events {
@@ -410,37 +428,38 @@
 	return nil
 }
 
-// cmdStream reads a stream whole: stream entry-1 s-1.
-func (w *testDeployment) cmdStream(args []string) error { return w.wholeStream(args[0], args[1]) }
+// cmdStream requests a stream and checks that it is complete: stream entry-1 s-1.
+func (w *testDeployment) cmdStream(args []string) error { return w.checkStream(args[0], args[1]) }
 
-// cmdStartStream begins a stream in the background: begin entry-1 s-1.
+// cmdStartStream starts a stream in the background and waits until a server runs it: begin entry-1 s-1.
 func (w *testDeployment) cmdStartStream(args []string) error {
 	done := make(chan error, 1)
 	w.mu.Lock()
 	w.streams[args[1]] = done
 	w.mu.Unlock()
-	go func() { done <- w.wholeStream(args[0], args[1]) }()
+	go func() { done <- w.checkStream(args[0], args[1]) }()
 	return w.await(func() error {
 		for _, s := range w.servers {
 			if s.Runs()[args[1]] > 0 {
 				return nil
 			}
 		}
-		return errors.New("the stream has not begun")
+		return errors.New("stream has not started")
 	})
 }
 
-// cmdAwaitStream waits for a stream that was begun: whole s-1.
+// cmdAwaitStream waits for the end of a stream in the background and checks that it is complete: whole s-1.
 func (w *testDeployment) cmdAwaitStream(args []string) error {
 	select {
 	case err := <-w.streams[args[0]]:
 		return err
 	case <-time.After(waitTimeout):
-		return errors.New("the stream has not ended")
+		return errors.New("stream has not ended")
 	}
 }
 
-// cmdRequest makes a request and checks the status: ask entry-1 r-1 /look/1 key-1 200.
+// cmdRequest sends a request and checks the status of the response, and that a 503 response has a Retry-After
+// header: ask entry-1 r-1 /look/1 key-1 200.
 func (w *testDeployment) cmdRequest(args []string) error {
 	response, err := w.request(args[0], args[1], args[2], args[3])
 	if err != nil {
@@ -451,18 +470,19 @@
 		return fmt.Errorf("request %s: status %d, want %d", args[1], response.StatusCode, want)
 	}
 	if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get("Retry-After") == "" {
-		return fmt.Errorf("request %s was refused without a time to come back", args[1])
+		return fmt.Errorf("request %s was refused without a Retry-After header", args[1])
 	}
 	return nil
 }
 
-// cmdCheckRuns checks how often a request ran on all servers: ran s-1 1 [tenant].
+// cmdCheckRuns checks how often a request ran on all servers, and its organisation if one is given:
+// ran s-1 1 [organisation].
 func (w *testDeployment) cmdCheckRuns(args []string) error {
 	runs := 0
 	for _, s := range w.servers {
 		runs += s.Runs()[args[0]]
 		if tenant := s.Tenant(args[0]); len(args) > 2 && s.Runs()[args[0]] > 0 && tenant != args[2] {
-			return fmt.Errorf("request %s came with organisation %q, want %q", args[0], tenant, args[2])
+			return fmt.Errorf("request %s has organisation %q, want %q", args[0], tenant, args[2])
 		}
 	}
 	if runs != parseInt(args[1], 0) {
@@ -471,9 +491,15 @@
 	return nil
 }
 
-// cmdAwait waits for a condition: await ready entry-1, await version 2, await
-// status entry-1 /look/1 key-2 401, await stream entry-1, await directory entry-1 3, await
-// used entry-1 plain-1 /look/1 (a request is answered by that server), await avoids entry-1 plain-1 /look/1 40 200.
+// cmdAwait waits for a condition:
+//
+//	await ready entry-1                      the box is ready
+//	await version 2                          all model servers have the version
+//	await status entry-1 /look/1 key-2 401   a request gets the status
+//	await stream entry-1                     a stream is complete
+//	await directory entry-1 3                the directory returns this number of boxes
+//	await used entry-1 plain-1 /look/1       a request is sent to this server and succeeds
+//	await avoids entry-1 plain-1 /look/1 40 200   no request reaches this server, see cmdCheckAvoided
 func (w *testDeployment) cmdAwait(args []string) error {
 	switch args[0] {
 	case "ready":
@@ -503,12 +529,13 @@
 		tries := 0
 		return w.await(func() error {
 			tries++
-			return w.wholeStream(args[1], fmt.Sprintf("await-%s-%d", args[1], tries))
+			return w.checkStream(args[1], fmt.Sprintf("await-%s-%d", args[1], tries))
 		})
 	}
-	return fmt.Errorf("await %s is not known", args[0])
+	return fmt.Errorf("unknown condition: await %s", args[0])
 }
 
+// checkReady returns an error unless an entry box is ready.
 func (w *testDeployment) checkReady(entry string) error {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+w.settingsByName[entry].Listen.Readiness+"/cinderslip/ready", http.NoBody)
 	if err != nil {
@@ -520,12 +547,12 @@
 	}
 	_ = response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s is not ready: %d", entry, response.StatusCode)
+		return fmt.Errorf("%s is not ready: status %d", entry, response.StatusCode)
 	}
 	return nil
 }
 
-// checkDirectory checks to how many entry boxes a box leads callers.
+// checkDirectory returns an error unless the directory of an entry box returns the wanted number of addresses.
 func (w *testDeployment) checkDirectory(entry string, want int) error {
 	address := "http://" + w.settingsByName[entry].Listen.Directory + "/cinderslip/resolve?Name=maps.example&Region=riga&Zone=hall-a"
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, address, http.NoBody)
@@ -537,19 +564,20 @@
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	var answer struct{ Addresses []string }
+	var body struct{ Addresses []string }
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s leads to no box: %d", entry, response.StatusCode)
+		return fmt.Errorf("directory of %s: status %d", entry, response.StatusCode)
 	}
-	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
+	if err := json.NewDecoder(response.Body).Decode(&body); err != nil {
 		return err
 	}
-	if len(answer.Addresses) != want {
-		return fmt.Errorf("%s leads to %v, want %d boxes", entry, answer.Addresses, want)
+	if len(body.Addresses) != want {
+		return fmt.Errorf("directory of %s returned %v, want %d addresses", entry, body.Addresses, want)
 	}
 	return nil
 }
 
+// await polls a condition until it returns no error, and returns its last error after waitTimeout.
 func (w *testDeployment) await(condition func() error) error {
 	deadline := time.Now().Add(waitTimeout)
 	for {
@@ -561,11 +589,12 @@
 	}
 }
 
-// cmdCheckHealthy checks that no server was sent what it never should be.
+// cmdCheckHealthy checks that no server has recorded a violation, which is a request that must never be sent to it:
+// sound.
 func (w *testDeployment) cmdCheckHealthy([]string) error {
 	for name, s := range w.servers {
-		if findings := s.Violations(); len(findings) > 0 {
-			return fmt.Errorf("%s: %v", name, findings)
+		if violations := s.Violations(); len(violations) > 0 {
+			return fmt.Errorf("%s: %v", name, violations)
 		}
 	}
 	return nil
--- a/internal/direct/earlyfetches.go
+++ b/internal/direct/earlyfetches.go
@@ -11,13 +11,12 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// earlyFetches are the pieces that an agent draws from the origin while the manifest of a version
-// that has just been named is on its way. What comes is checked against the manifest like any
-// other piece.
+// earlyFetches fetches chunks of a newly published version from the origin before its manifest has been
+// received. Each chunk is verified against the manifest later, like any other chunk.
 //
-// They guard against an origin that goes away when it has had the time for little more than
-// one copy: its link would stand idle until manifests have come, and a single piece that is
-// missing then keeps all servers from the version.
+// The origin may become unavailable after it has sent little more than one copy of the version. Without
+// early fetches its link would be idle until the agents have the manifest, and a single missing chunk
+// prevents all servers from loading the version.
 type earlyFetches struct {
 	results chan fetchResult
 	stop    context.CancelFunc
@@ -27,52 +26,55 @@
 	started map[int]time.Time
 }
 
-// startEarlyFetches begins to draw the pieces that this agent is the first to draw, each in its turn,
-// until begun is called. A version that was named some time ago is not drawn early: others have
-// its pieces.
-func (l *Loader) startEarlyFetches(ctx context.Context, want *target, version fleet.WeightsVersion) *earlyFetches {
+// startEarlyFetches starts to fetch the chunks for which this agent is the first origin fetcher, each at its
+// scheduled time, until stopNew is called. There are no early fetches if the
+// version was published more than maxScheduleLag ago, because other agents already hold its chunks, or if the
+// origin or the rate of its link is not known.
+func (l *Loader) startEarlyFetches(ctx context.Context, desired *target, version fleet.WeightsVersion) *earlyFetches {
 	e := &earlyFetches{started: make(map[int]time.Time), stop: func() {}}
-	named, options := want.published.PublishedAt(version), l.pickerOptions(want)
-	if scheduleStart(named, l.options.Clock.Now()) != named || options.OriginInterval == 0 || want.origin.Origin == "" {
+	publishedAt, options := desired.published.PublishedAt(version), l.pickerOptions(desired)
+	if scheduleStart(publishedAt, l.options.Clock.Now()) != publishedAt || options.OriginInterval == 0 || desired.origin.Origin == "" {
 		return e
 	}
-	var drawers []weights.Peer
-	for _, record := range l.agentRecords(want) {
-		drawers = append(drawers, weights.Peer{Box: string(record.Box)})
+	var fetchers []weights.Peer
+	for _, record := range l.agentRecords(desired) {
+		fetchers = append(fetchers, weights.Peer{Box: string(record.Box)})
 	}
-	pieces := weights.FirstRankChunks(string(want.model), strconv.FormatUint(uint64(version), 10), string(l.options.Agent), drawers, want.engine.Chunks)
-	e.results = make(chan fetchResult, len(pieces))
+	chunks := weights.FirstRankChunks(string(desired.model), strconv.FormatUint(uint64(version), 10), string(l.options.Agent), fetchers, desired.engine.Chunks)
+	e.results = make(chan fetchResult, len(chunks))
 	waitCtx, stop := context.WithCancel(ctx)
 	e.stop = stop
 	l.tasks.Go(func(context.Context) {
-		for _, piece := range pieces {
-			sleep(waitCtx, l.options.Clock, named.Add(options.ScheduledOffset(piece)).Sub(l.options.Clock.Now()))
-			if waitCtx.Err() != nil || !e.begin(piece, l.options.Clock.Now()) {
+		for _, chunk := range chunks {
+			sleep(waitCtx, l.options.Clock, publishedAt.Add(options.ScheduledOffset(chunk)).Sub(l.options.Clock.Now()))
+			if waitCtx.Err() != nil || !e.begin(chunk, l.options.Clock.Now()) {
 				return
 			}
-			l.tasks.Go(func(context.Context) { e.fetch(ctx, l, want, version, piece) })
+			l.tasks.Go(func(context.Context) { e.fetch(ctx, l, desired, version, chunk) })
 		}
 	})
 	return e
 }
 
-// begin notes a draw that begins; false if no more are to begin.
-func (e *earlyFetches) begin(piece int, now time.Time) bool {
+// begin records the start of a fetch and reports whether the fetch may start. It returns false after stopNew.
+func (e *earlyFetches) begin(chunk int, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.stopped {
-		e.started[piece] = now
+		e.started[chunk] = now
 	}
 	return !e.stopped
 }
 
-func (e *earlyFetches) fetch(ctx context.Context, l *Loader, want *target, version fleet.WeightsVersion, piece int) {
+// fetch fetches one chunk from the origin and sends the result to results.
+func (e *earlyFetches) fetch(ctx context.Context, l *Loader, desired *target, version fleet.WeightsVersion, chunk int) {
 	started := l.options.Clock.Now()
-	data, err := l.fetchFromOrigin(ctx, want, version, piece)
-	e.results <- fetchResult{weights.FetchTask{Chunk: piece}, data, err, l.options.Clock.Since(started)}
+	data, err := l.fetchFromOrigin(ctx, desired, version, chunk)
+	e.results <- fetchResult{weights.FetchTask{Chunk: chunk}, data, err, l.options.Clock.Since(started)}
 }
 
-// stopNew ends beginning draws, and returns when each began that has.
+// stopNew prevents further fetches from starting and returns the start time of each fetch that has started,
+// by chunk. Fetches in progress continue.
 func (e *earlyFetches) stopNew() map[int]time.Time {
 	e.stop()
 	e.mu.Lock()
--- a/internal/direct/fetch.go
+++ b/internal/direct/fetch.go
@@ -15,42 +15,43 @@
 )
 
 const (
-	// originRankDelay is how long each place in the order of drawers waits for the one
-	// before it: a few pieces over the origin's link, which all draw at once.
+	// originRankDelay is how long an origin fetcher of a chunk waits for the fetcher of the rank before its
+	// own. It covers the transfer of a few chunks over the origin's link while all agents use it.
 	originRankDelay = 500 * time.Millisecond
-	// maxOriginWait is after how long that order is kept to no more: the origin has
-	// given one copy by then if all who are first draw at the rate of their links.
+	// maxOriginWait is the time after which agents no longer wait for the fetchers of the ranks before theirs.
+	// By then the origin has sent one copy of the version if all first fetchers use the full rate of their
+	// links.
 	maxOriginWait = 1200 * time.Millisecond
-	// defaultMaxRemoteWait is the same for pieces that another box of the region is to bring over
-	// a priced link, where the rates of the links are not known.
+	// defaultMaxRemoteWait is the time after which a box no longer waits for another box of its region to
+	// fetch a chunk over a priced link. It applies if the rates of the links are not known.
 	defaultMaxRemoteWait = 2 * time.Second
-	// holdingsInterval is how often neighbours are asked what they hold.
+	// holdingsInterval is the interval at which neighbours are polled for the chunks that they hold.
 	holdingsInterval = 80 * time.Millisecond
-	// maxFetchWindow is how many pieces are fetched at once. More would queue on the
-	// box's link before what callers wait for.
+	// maxFetchWindow limits the number of concurrent chunk fetches. With more, chunks would queue on the
+	// box's link ahead of the traffic that callers wait for.
 	maxFetchWindow = 4
-	// slowChunk is how long a piece takes on a link that is too narrow for the
-	// window: several times what a full window takes on the links of today.
+	// slowChunk is the duration of a chunk transfer above which the link counts as too slow for the current
+	// window. It is several times the duration of a full window on a typical link.
 	slowChunk = 600 * time.Millisecond
-	// windowGrowth is by how much the window opens with each piece.
+	// windowGrowth is the increase of the window after each chunk.
 	windowGrowth = 0.25
-	// initialFetchWindow is how many are at first, until the link is known to bear more.
+	// initialFetchWindow is the number of concurrent fetches before any transfer has been timed.
 	initialFetchWindow = 3
-	// chunkTimeout bounds fetching a piece: many times what one takes over a box's
-	// link, and a small part of the time in which weights must be live.
+	// chunkTimeout is the timeout of one chunk fetch. It is many times the transfer time over a box's link
+	// and a small part of the time in which weights must be live.
 	chunkTimeout = 2500 * time.Millisecond
-	// holdingsTimeout bounds asking a neighbour what it holds: several pieces may be on its link
-	// before the answer. One that is silent for longer counts as holding nothing.
+	// holdingsTimeout is the timeout of a holdings request. Several chunks may be queued on the neighbour's
+	// link ahead of the response. A neighbour that exceeds the timeout counts as holding nothing.
 	holdingsTimeout = 500 * time.Millisecond
-	// fetchRetryDelay is the wait before a draw that failed is tried again.
+	// fetchRetryDelay is the delay before a failed fetch is retried.
 	fetchRetryDelay = 300 * time.Millisecond
 )
 
-// chunkFetcher gets the missing pieces of one version. One goroutine decides; the
-// transfers tell it their results.
+// chunkFetcher fetches the missing chunks of one version. One goroutine, in run, schedules the transfers and
+// receives their results over channels.
 type chunkFetcher struct {
 	loader          *Loader
-	want            *target
+	desired         *target
 	version         fleet.WeightsVersion
 	manifest        *weights.Manifest
 	picker          *weights.Picker
@@ -59,8 +60,8 @@
 	earlyResults    <-chan fetchResult
 	holdings        chan holdingsResult
 	holdingsPending map[string]bool
-	// window is how many pieces are fetched at once; it shrinks while they take
-	// long, because then the link is narrower than the settings say.
+	// window is the maximum number of concurrent fetches. It is reduced while chunks are slow, because the
+	// link is then slower than configured.
 	window float64
 }
 
@@ -77,22 +78,22 @@
 	responded bool
 }
 
-// pickerOptions are how a copy is fetched.
-func (l *Loader) pickerOptions(want *target) weights.PickerOptions {
+// pickerOptions returns the options of the picker that schedules the chunk fetches of a version.
+func (l *Loader) pickerOptions(desired *target) weights.PickerOptions {
 	options := weights.DefaultPickerOptions()
-	options.OriginWindow, options.OriginInterval = originWindow(want), originInterval(want)
+	options.OriginWindow, options.OriginInterval = originWindow(desired), originInterval(desired)
 	options.OriginBurst, options.OriginHedgeDelay, options.SilenceTimeout = originBurst, originHedgeChunks*options.OriginInterval, originSilenceTimeout
-	options.MaxRemoteWait = l.maxRemoteWait(want)
+	options.MaxRemoteWait = l.maxRemoteWait(desired)
 	options.RankDelay, options.MaxOriginWait, options.NeighbourWindow, options.TotalWindow = originRankDelay, maxOriginWait, 1, initialFetchWindow
 	return options
 }
 
-// fetchChunks returns when every piece is held or the context ends. Early are the draws that were
-// begun while the manifest was on its way.
-func (l *Loader) fetchChunks(ctx context.Context, want *target, version fleet.WeightsVersion, manifest *weights.Manifest, early *earlyFetches) error {
-	options := l.pickerOptions(want)
+// fetchChunks fetches the missing chunks of a version. It returns when the store holds every chunk, or an
+// error when the context ends. early holds the fetches that were started before the manifest was received.
+func (l *Loader) fetchChunks(ctx context.Context, desired *target, version fleet.WeightsVersion, manifest *weights.Manifest, early *earlyFetches) error {
+	options := l.pickerOptions(desired)
 	f := &chunkFetcher{
-		loader: l, want: want, version: version, manifest: manifest, addresses: make(map[string]member.Address),
+		loader: l, desired: desired, version: version, manifest: manifest, addresses: make(map[string]member.Address),
 		picker:  weights.NewPicker(manifest, string(l.options.Agent), l.store.Held(manifest.Digest()), options, l.options.Clock.Now()),
 		results: make(chan fetchResult), holdings: make(chan holdingsResult), holdingsPending: make(map[string]bool),
 		window: initialFetchWindow, earlyResults: early.results,
@@ -100,99 +101,102 @@
 	for chunk, at := range early.stopNew() {
 		f.picker.AddEarlyFetch(chunk, at)
 	}
-	f.picker.RestrictUntil(l.restrictedUntil(want, version))
-	f.picker.SetScheduleStart(scheduleStart(want.published.PublishedAt(version), l.options.Clock.Now()))
+	f.picker.RestrictUntil(l.restrictedUntil(desired, version))
+	f.picker.SetScheduleStart(scheduleStart(desired.published.PublishedAt(version), l.options.Clock.Now()))
 	f.updatePeers()
 	return f.run(ctx)
 }
 
 const (
-	// maxOriginFetches is how many pieces one box draws at once.
+	// maxOriginFetches limits the number of concurrent fetches of one box from the origin.
 	maxOriginFetches = 4
-	// originConnectionShare is the part of the origin's connections that all boxes together
-	// use: it drops those that are too many.
+	// originConnectionShare is the share of the origin's connection limit that all boxes together use. The
+	// origin drops connections above its limit.
 	originConnectionShare = 0.8
 )
 
-// originWindow is how many pieces this box may draw at once. At the pace of the origin's link
-// few are drawn at once in all, and a second one of this box need not wait for the first.
-func originWindow(want *target) int {
-	if want.origin.OriginMbps > 0 {
+// originWindow returns how many chunks this box may fetch from the origin at once. If the rate of the origin's
+// link is known, fetches are paced by it: few run at once in all, so a box need not be limited further.
+func originWindow(desired *target) int {
+	if desired.origin.OriginMbps > 0 {
 		return maxOriginFetches
 	}
-	if want.origin.MaxConnections == 0 || len(want.servers) == 0 {
+	if desired.origin.MaxConnections == 0 || len(desired.servers) == 0 {
 		return maxOriginFetches
 	}
-	return max(1, min(maxOriginFetches, int(originConnectionShare*float64(want.origin.MaxConnections))/len(want.servers)))
+	return max(1, min(maxOriginFetches, int(originConnectionShare*float64(desired.origin.MaxConnections))/len(desired.servers)))
 }
 
-// maxRemoteWait is how long a copy takes to pass the origin's link and then a box's: one
-// that has not come round in the region by then is held up.
-func (l *Loader) maxRemoteWait(want *target) time.Duration {
-	if want.origin.OriginMbps <= 0 || l.options.LinkMbps <= 0 {
+// maxRemoteWait returns how long one copy of the weights takes over the origin's link and then over the link of
+// a box. A chunk that no box of the region holds after this time counts as delayed, and other boxes fetch it.
+func (l *Loader) maxRemoteWait(desired *target) time.Duration {
+	if desired.origin.OriginMbps <= 0 || l.options.LinkMbps <= 0 {
 		return defaultMaxRemoteWait
 	}
-	size := float64(want.engine.ChunkSize) * float64(want.engine.Chunks)
-	seconds := size/(want.origin.OriginMbps*bytesPerMbit) + size/(l.options.LinkMbps*bytesPerMbit)
+	size := float64(desired.engine.ChunkSize) * float64(desired.engine.Chunks)
+	seconds := size/(desired.origin.OriginMbps*bytesPerMbit) + size/(l.options.LinkMbps*bytesPerMbit)
 	return time.Duration(seconds * float64(time.Second))
 }
 
 const (
-	// originBurst is how many pieces are on their way from the origin before its link has had
-	// the time for them: two keep it busy from one answer to the next request.
+	// originBurst is how many chunks are requested from the origin ahead of the rate of its link. Two keep
+	// the link busy between a response and the next request.
 	originBurst = 2
-	// originHedgeChunks is how many times the time of a piece over the origin's link the second
-	// drawers wait after the last piece's turn: those that are drawn last are on their way.
+	// originHedgeChunks is how long the second origin fetchers wait after the scheduled time of the last
+	// chunk, in transfer times of one chunk over the origin's link. The last chunks are still in transfer
+	// for that time.
 	originHedgeChunks = 4
-	// originSilenceTimeout is after how long without an answer the second drawer of a piece takes the
-	// place of the first: several of the intervals at which it is asked. What killed agents
-	// had still to draw must come before the origin may go away, or all wait for it until it is back.
+	// originSilenceTimeout is the time without a response from the first origin fetcher of a chunk after which
+	// the second one fetches the chunk. It covers several holdings requests. The remaining chunks of killed
+	// agents must be fetched before the origin becomes unavailable, or all agents wait for its return.
 	originSilenceTimeout = 400 * time.Millisecond
-	// maxScheduleLag is how long after a version was named an agent still keeps to the pace that
-	// counts from its name. It hears of it and has the manifest within half of that; one that
-	// comes later, as its box has just started, finds most pieces at others.
+	// maxScheduleLag is the age of a version up to which an agent schedules its origin fetches from the time
+	// of publication. Agents are notified and receive the manifest within half of this time. An agent that
+	// is later, for example because its box has just started, finds most chunks at other agents.
 	maxScheduleLag = 500 * time.Millisecond
 )
 
-// scheduleStart is from when the pace of the draws counts: for all agents alike from the name of
-// the version, so that the origin's link is busy from the first to the last piece.
-func scheduleStart(named, now time.Time) time.Time {
-	if age := now.Sub(named); named.IsZero() || age < 0 || age > maxScheduleLag {
+// scheduleStart returns the start of the schedule of origin fetches. For all agents it is the time of publication,
+// so that the origin's link is busy from the first to the last chunk. An agent that is later than
+// maxScheduleLag, or does not know the time of publication, starts now.
+func scheduleStart(publishedAt, now time.Time) time.Time {
+	if age := now.Sub(publishedAt); publishedAt.IsZero() || age < 0 || age > maxScheduleLag {
 		return now
 	}
-	return named
+	return publishedAt
 }
 
-// linkOverhead is by how much more than its bytes a piece takes of a link: 40 of 1,500 bytes
-// of each packet are heads of TCP and IP, and there are those of HTTP.
+// linkOverhead is the ratio of the bytes on the link to the bytes of a chunk. TCP and IP headers take 40 of the
+// 1,500 bytes of each packet, and HTTP headers add to them.
 const linkOverhead = 1.04
 
-// originInterval is how long after each other the pieces are drawn from the origin; 0 if
-// the rate of its link is not known.
-func originInterval(want *target) time.Duration {
-	if want.origin.OriginMbps <= 0 {
+// originInterval returns the interval between the scheduled fetches of two chunks from the origin, which is the
+// transfer time of one chunk over the origin's link. It is 0 if the rate of the link is not known.
+func originInterval(desired *target) time.Duration {
+	if desired.origin.OriginMbps <= 0 {
 		return 0
 	}
-	seconds := linkOverhead * float64(want.engine.ChunkSize) / (want.origin.OriginMbps * bytesPerMbit)
+	seconds := linkOverhead * float64(desired.engine.ChunkSize) / (desired.origin.OriginMbps * bytesPerMbit)
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// updatePeers names the agents that take part.
+// updatePeers passes the current origin fetchers and neighbours to the picker. It does nothing if the servers
+// have not changed since the last call.
 func (f *chunkFetcher) updatePeers() {
 	if now, known := f.loader.target(); known {
-		if sameServers(f.want.servers, now.servers) && len(f.addresses) > 0 {
+		if sameServers(f.desired.servers, now.servers) && len(f.addresses) > 0 {
 			return
 		}
-		f.want = &now
+		f.desired = &now
 	}
-	records := f.loader.agentRecords(f.want)
-	drawers := make([]weights.Peer, 0, len(records))
+	records := f.loader.agentRecords(f.desired)
+	fetchers := make([]weights.Peer, 0, len(records))
 	for _, record := range records {
-		drawers = append(drawers, weights.Peer{Box: string(record.Box), Remote: record.Region == regionRemote})
+		fetchers = append(fetchers, weights.Peer{Box: string(record.Box), Remote: record.Region == regionRemote})
 		f.addresses[string(record.Box)] = record.Peers
 	}
-	f.picker.SetOriginFetchers(drawers)
-	neighbours := f.loader.neighbours(f.want)
+	f.picker.SetOriginFetchers(fetchers)
+	neighbours := f.loader.neighbours(f.desired)
 	peers := make([]weights.Peer, 0, len(neighbours))
 	for _, record := range neighbours {
 		peers = append(peers, weights.Peer{Box: string(record.Box), Remote: record.Region == regionRemote})
@@ -200,22 +204,22 @@
 	f.picker.SetNeighbours(peers)
 }
 
-// sameServers reports whether two lists name the same servers.
+// sameServers reports whether two lists contain the same servers in the same order.
 func sameServers(a, b []fleet.Server) bool {
 	return slices.EqualFunc(a, b, func(a, b fleet.Server) bool { return a.ID == b.ID })
 }
 
-// Regions as one box sees them: its own, and all others.
+// Regions relative to a box: its own region, and all others as one.
 const (
 	regionLocal  member.Region = "near"
 	regionRemote member.Region = "far"
 )
 
-// agentRecords are the agents of the service as the members of a swarm. An agent is
-// named by its address.
-func (l *Loader) agentRecords(want *target) []member.Record {
-	records := make([]member.Record, 0, len(want.servers))
-	for _, server := range want.servers {
+// agentRecords returns the agents of the service as swarm members. The box ID of each record is the address of
+// the agent.
+func (l *Loader) agentRecords(desired *target) []member.Record {
+	records := make([]member.Record, 0, len(desired.servers))
+	for _, server := range desired.servers {
 		address, ok := agentAddress(server.Address, l.options.AgentPort)
 		if !ok {
 			continue
@@ -231,12 +235,13 @@
 	return records
 }
 
-// neighbours are the agents that pieces are exchanged with.
-func (l *Loader) neighbours(want *target) []member.Record {
+// neighbours returns the agents with which this agent exchanges chunks.
+func (l *Loader) neighbours(desired *target) []member.Record {
 	self := member.Record{Box: member.BoxID(l.options.Agent), Region: regionLocal}
-	return member.Neighbours(self, l.agentRecords(want))
+	return member.Neighbours(self, l.agentRecords(desired))
 }
 
+// run fetches chunks until none is missing or the context ends.
 func (f *chunkFetcher) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -267,6 +272,7 @@
 	return nil
 }
 
+// startTasks starts all fetches that the picker allows now.
 func (f *chunkFetcher) startTasks(ctx context.Context) {
 	for {
 		task, ok := f.picker.Next(f.loader.options.Clock.Now())
@@ -284,7 +290,8 @@
 	}
 }
 
-// handleResult keeps a piece that verifies and notes everything else as a fault.
+// handleResult stores a chunk that matches its digest. It reports any other result to the picker as a failure,
+// which delays the next attempt by fetchRetryDelay.
 func (f *chunkFetcher) handleResult(result fetchResult) {
 	from := "peer"
 	if result.task.FromOrigin() {
@@ -308,9 +315,10 @@
 	f.picker.Failed(result.task, now.Add(fetchRetryDelay))
 }
 
-// adjustWindow halves the window when a piece took long and opens it slowly. Pieces of the
-// origin tell nothing of the box's own link: several are on that of the origin together, and
-// each box that had drawn one fetched two pieces at once in place of four for a while.
+// adjustWindow halves the window after a slow chunk and increases it by windowGrowth after any other. Chunks from
+// the origin are ignored, because several of them share the origin's link and their duration says nothing about
+// the box's own link. If they counted, each box that fetches from the origin would use half of its window for a
+// while.
 func (f *chunkFetcher) adjustWindow(result fetchResult) {
 	if result.task.FromOrigin() {
 		return
@@ -323,16 +331,18 @@
 	f.picker.SetTotalWindow(int(f.window))
 }
 
-// fetchFromOrigin reads a piece from the origin.
-func (l *Loader) fetchFromOrigin(ctx context.Context, want *target, version fleet.WeightsVersion, piece int) ([]byte, error) {
+// fetchFromOrigin fetches a chunk from the origin. The bytes are not verified.
+func (l *Loader) fetchFromOrigin(ctx context.Context, desired *target, version fleet.WeightsVersion, chunk int) ([]byte, error) {
 	callCtx, cancel := context.WithTimeout(ctx, chunkTimeout)
 	defer cancel()
-	return l.options.Origin.Chunk(callCtx, want.origin.Origin, want.model, version, piece)
+	return l.options.Origin.Chunk(callCtx, desired.origin.Origin, desired.model, version, chunk)
 }
 
+// fetchChunk fetches a chunk from the source in the task: the origin or another agent. The bytes
+// are not verified, but a chunk from an agent that exceeds its size in the manifest is an error.
 func (f *chunkFetcher) fetchChunk(ctx context.Context, task weights.FetchTask) ([]byte, error) {
 	if task.FromOrigin() {
-		return f.loader.fetchFromOrigin(ctx, f.want, f.version, task.Chunk)
+		return f.loader.fetchFromOrigin(ctx, f.desired, f.version, task.Chunk)
 	}
 	callCtx, cancel := context.WithTimeout(ctx, chunkTimeout)
 	defer cancel()
@@ -352,13 +362,13 @@
 		case err != nil:
 			return nil, err
 		case int64(len(data)+len(frame.Data)) > size:
-			return nil, fmt.Errorf("piece is longer than %d bytes: %w", size, weights.ErrDigestMismatch)
+			return nil, fmt.Errorf("chunk is longer than %d bytes: %w", size, weights.ErrDigestMismatch)
 		}
 		data = append(data, frame.Data...)
 	}
 }
 
-// requestHoldings asks each neighbour that has answered the last time.
+// requestHoldings requests the holdings of each agent that the picker lists, unless a request to it is pending.
 func (f *chunkFetcher) requestHoldings(ctx context.Context) {
 	digest := f.manifest.Digest()
 	for _, box := range f.picker.BoxesToPoll() {
@@ -371,10 +381,10 @@
 			callCtx, cancel := context.WithTimeout(ctx, holdingsTimeout)
 			defer cancel()
 			result := holdingsResult{box: box}
-			answer, err := wire.NewDRPCChunksClient(f.loader.options.Peers.Conn(address)).
+			response, err := wire.NewDRPCChunksClient(f.loader.options.Peers.Conn(address)).
 				Holdings(callCtx, &wire.HoldingsRequest{Manifest: digest[:]})
 			if err == nil {
-				result.held, result.responded = answer.Held, true
+				result.held, result.responded = response.Held, true
 			}
 			select {
 			case f.holdings <- result:
--- a/internal/direct/loader.go
+++ b/internal/direct/loader.go
@@ -20,22 +20,23 @@
 )
 
 const (
-	// reportInterval is how often the backend server's report is read; from its
-	// own box it is fresh and free.
+	// reportInterval is the interval at which the backend server's report is read. The server runs on the
+	// same box, so reading it often costs little.
 	reportInterval = 100 * time.Millisecond
-	// orderPollInterval is the same while the server carries an order out: callers wait for it.
+	// orderPollInterval replaces reportInterval while the server executes a load order. It is shorter because
+	// callers wait for the server.
 	orderPollInterval = 20 * time.Millisecond
-	// serverCallTimeout bounds reading it.
+	// serverCallTimeout is the timeout of one call to the backend server.
 	serverCallTimeout = time.Second
-	// loadRetryDelay is the wait after a step towards the wanted weights that failed.
+	// loadRetryDelay is the delay after a failed download or swap.
 	loadRetryDelay = 200 * time.Millisecond
-	// maxChunkMemory bounds the pieces that are held, in bytes: two versions of the
-	// largest models of today fit many times.
+	// maxChunkMemory limits the memory for chunks, in bytes. It is many times the size of two versions of
+	// the largest expected models.
 	maxChunkMemory = 64 << 20
 )
 
-// Loader brings the wanted weights to the backend server of the box and tells
-// the entry boxes how far it is. It implements the drpc service Fleet for agents.
+// Loader downloads the desired weights, loads them into the backend server of the box and reports the state
+// of the server to the entry boxes. It implements the drpc service Fleet for agents.
 type Loader struct {
 	wire.DRPCFleetUnimplementedServer
 
@@ -44,33 +45,35 @@
 	store   *weights.MemoryStore
 
 	mu sync.Mutex
-	// manifests are the manifests of the versions whose pieces are held.
+	// manifests holds the manifests of the versions whose chunks are in the store.
 	manifests map[publishedVersion]*weights.Manifest
-	// downloads are the versions that are being fetched or have been.
+	// downloads holds the downloads in progress and the complete ones.
 	downloads map[fleet.WeightsVersion]*versionDownload
 	verified  verifiedChunks
 	report    fleet.Report
 	reportAt  time.Time
-	// incarnation is which start of the server has reported; 0 if none has said.
+	// incarnation is the latest incarnation that the server has reported; 0 if it has reported none.
 	incarnation member.Incarnation
-	// leaving is set while the server says that it will end.
+	// leaving is set while the server announces its end.
 	leaving bool
-	// polled is set once the server has been asked for a report.
-	polled   bool
+	// polled is set after the first request for a report of the server, whether it succeeded or not.
+	polled bool
+	// swapping is set while the server must get no new requests because of a weight swap.
 	swapping bool
-	// swapAt is when the server is to be swapped; zero if that is not known.
-	swapAt   time.Time
+	// swapAt is the time of the next weight swap; zero if none is scheduled.
+	swapAt time.Time
+	// changed is closed and replaced at each change of the server's status.
 	changed  chan struct{}
 	done     chan struct{}
 	stopOnce sync.Once
 }
 
-// LoaderOptions are the parts that a Loader works with.
+// LoaderOptions configures a Loader.
 type LoaderOptions struct {
 	Box     string
 	Service member.Service
-	// Address is that of the backend server on the box, Agent that of this
-	// process for its peers.
+	// Address is the address of the backend server on the box. Agent is the address of this process for
+	// its peers.
 	Address         member.Address
 	Agent           member.Address
 	AgentPort       uint16
@@ -82,16 +85,16 @@
 	Clock           clockwork.Clock
 	Log             zerolog.Logger
 	Metrics         *Metrics
-	// IsLocal reports whether a failure domain is in the own region.
+	// IsLocal reports whether a failure domain is in the region of this box.
 	IsLocal func(member.FailureDomain) bool
 	// LinkMbps is the rate of the box's link, in Mbit/s.
 	LinkMbps float64
-	// VersionBound is how long after newer weights were named older ones may still start
-	// a request.
+	// VersionBound is the time from the publication of a version to the cutoff of the older ones, which may
+	// start no more requests from then on.
 	VersionBound time.Duration
 }
 
-// startLoader starts to follow the wanted weights.
+// startLoader creates the loader, registers its drpc services and starts its tasks.
 func (p *Process) startLoader() error {
 	l := &Loader{
 		options: LoaderOptions{
@@ -123,25 +126,26 @@
 // String returns the service's name.
 func (l *Loader) String() string { return "loader" }
 
-// Stop ends following.
+// Stop closes the status streams and stops the loader's tasks.
 func (l *Loader) Stop(ctx context.Context) error {
 	l.stopOnce.Do(func() { close(l.done) })
 	return l.tasks.Stop(ctx)
 }
 
-// notify wakes the streams. The lock must be held.
+// notify wakes the status streams. The caller must hold mu.
 func (l *Loader) notify() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// pollServer reads the backend server's report again and again.
+// pollServer reads the backend server's report every reportInterval and logs when the server becomes
+// unreachable or reachable.
 func (l *Loader) pollServer(ctx context.Context) {
-	lost := false
+	down := false
 	for ctx.Err() == nil {
 		err := l.readReport(ctx)
-		if failed := err != nil; failed != lost && ctx.Err() == nil {
-			lost = failed
+		if failed := err != nil; failed != down && ctx.Err() == nil {
+			down = failed
 			event, message := l.options.Log.Info(), "dependency regained"
 			if failed {
 				event, message = l.options.Log.Warn().Err(err), "dependency lost"
@@ -152,7 +156,7 @@
 	}
 }
 
-// readReport reads the backend server's report once.
+// readReport reads the backend server's report once and stores it. A failure clears the stored report.
 func (l *Loader) readReport(ctx context.Context) error {
 	callCtx, cancel := context.WithTimeout(ctx, serverCallTimeout)
 	report, err := l.options.Server.Report(callCtx)
@@ -177,11 +181,11 @@
 	return err
 }
 
-// errEarlierIncarnation reports an answer of a start of the server before the present one.
-var errEarlierIncarnation = errors.New("report is of an earlier start of the server")
+// errEarlierIncarnation is returned for a report of an incarnation of the server before the current one.
+var errEarlierIncarnation = errors.New("report is from an earlier start of the server")
 
-// noteIncarnation notes which start of the server reports. Nothing that was known of the one
-// before holds of the next: what was staged may be gone, and swaps are planned anew.
+// noteIncarnation records the incarnation of a report and rejects reports of earlier ones. A new incarnation
+// clears the state of the one before: its staged chunks may be lost, and swaps are scheduled again.
 func (l *Loader) noteIncarnation(reported member.Incarnation) error {
 	switch {
 	case reported == 0 || reported == l.incarnation:
@@ -198,14 +202,14 @@
 	return nil
 }
 
-// serverReport returns the newest report; ok is false while the server does not
-// answer.
+// serverReport returns the newest report. ok is false if the last request for a report failed.
 func (l *Loader) serverReport() (report fleet.Report, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.report, !l.reportAt.IsZero()
 }
 
+// setSwapping sets whether the server is in a weight swap and wakes the status streams at a change.
 func (l *Loader) setSwapping(swapping bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -215,23 +219,23 @@
 	}
 }
 
-// target is what the server should run.
+// target is the model and the weights that the backend server should run.
 type target struct {
 	model     fleet.ModelName
 	engine    *fleet.Engine
 	published fleet.PublishedVersions
-	// origin publishes the weights; it has no address if none is known.
+	// origin is the service that publishes the weights. Its address is empty if no origin is known.
 	origin  fleet.Service
 	servers []fleet.Server
-	// resumable is set if every request that the servers run can go on at another
-	// one.
+	// resumable is set if every request to the servers can be resumed at another server.
 	resumable bool
 }
 
-// newest is the version that the server should come to.
+// newest returns the newest published version.
 func (t *target) newest() fleet.WeightsVersion { return t.published.Newest().Version }
 
-// target returns what the server should run; ok is false until it is known.
+// target returns what the backend server should run. ok is false while the service has no engine with a model
+// in the current configuration.
 func (l *Loader) target() (target, bool) {
 	view := l.options.FleetState.View()
 	service := view.Service(l.options.Service)
@@ -239,18 +243,18 @@
 		return target{}, false
 	}
 	model := service.Engine.Models[0]
-	want := target{
+	desired := target{
 		model: model, engine: service.Engine, published: view.PublishedVersions(model),
 		servers: withoutLeaving(view.Servers(l.options.Service)), resumable: view.Resumable(l.options.Service),
 	}
 	if origin := view.Origin(); origin != nil {
-		want.origin = *origin
+		desired.origin = *origin
 	}
-	return want, true
+	return desired, true
 }
 
-// withoutLeaving returns the servers that have not said that they will end: those who leave get no newer weights,
-// so no swap waits its turn behind theirs.
+// withoutLeaving returns the servers that have not announced their end. Leaving servers get no newer weights and
+// have no position in the order of swaps, so they delay no other server.
 func withoutLeaving(servers []fleet.Server) []fleet.Server {
 	isLeaving := func(s fleet.Server) bool { return s.Leaving }
 	if !slices.ContainsFunc(servers, isLeaving) {
@@ -259,9 +263,9 @@
 	return slices.DeleteFunc(slices.Clone(servers), isLeaving)
 }
 
-// isLeaving reports whether the server of the box will end, by its own last answer or by what is believed of this
-// start of it. Where the platform does not tell starts, what is believed may be of the server that had the address
-// before, and the next one would get no weights until its entry has come.
+// isLeaving reports whether the backend server has announced its end, by its last response or by the fleet state
+// of its current incarnation. The fleet state is ignored if the server reports no incarnation: it may describe
+// the previous server at the address, and the new one would get no weights until its entry is received.
 func (l *Loader) isLeaving() bool {
 	l.mu.Lock()
 	leaving, incarnation := l.leaving, l.incarnation
@@ -271,81 +275,82 @@
 	})
 }
 
-// loadedVersion returns the whole version of a model that the server has; 0 for none.
+// loadedVersion returns the version of a model that the server has loaded completely; 0 if there is none.
 func loadedVersion(report *fleet.Report, model fleet.ModelName, layers int) fleet.WeightsVersion {
 	for i := range report.Models {
 		if report.Models[i].Name != model {
 			continue
 		}
-		if version, whole := report.Models[i].CompleteVersion(layers); whole {
+		if version, complete := report.Models[i].CompleteVersion(layers); complete {
 			return version
 		}
 	}
 	return 0
 }
 
-// reconcileLoop brings the wanted weights to the server, again whenever they change or
-// the server has lost them.
+// reconcileLoop loads the desired weights into the server. It repeats this when the desired version changes and
+// when the server has lost its weights.
 func (l *Loader) reconcileLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		want, known := l.target()
-		report, answers := l.serverReport()
-		if known && answers && !report.Busy {
-			l.reconcile(ctx, &want, loadedVersion(&report, want.model, want.engine.Layers))
+		desired, known := l.target()
+		report, responding := l.serverReport()
+		if known && responding && !report.Busy {
+			l.reconcile(ctx, &desired, loadedVersion(&report, desired.model, desired.engine.Layers))
 		}
 		sleep(ctx, l.options.Clock, reconcileInterval)
 	}
 }
 
-// reconcileInterval is how often is looked at what the server lacks.
+// reconcileInterval is the interval at which the server's weights are compared with the desired ones.
 const reconcileInterval = 50 * time.Millisecond
 
-// reconcile does what is due for a server that holds a whole version, or none if it is
-// 0.
-func (l *Loader) reconcile(ctx context.Context, want *target, have fleet.WeightsVersion) {
-	if have >= want.newest() {
+// reconcile downloads the newest version and swaps the server to it at the scheduled time. have is the version
+// that the server has loaded, or 0.
+func (l *Loader) reconcile(ctx context.Context, desired *target, have fleet.WeightsVersion) {
+	if have >= desired.newest() {
 		l.announceSwap(time.Time{})
 		l.cancelDownloads()
-		if err := l.importRunning(ctx, want, have); err != nil {
-			l.options.Log.Debug().Err(err).Msg("staged pieces not adopted")
+		if err := l.importRunning(ctx, desired, have); err != nil {
+			l.options.Log.Debug().Err(err).Msg("cannot import the chunks of the running version; trying again")
 		}
 		return
 	}
 	if l.isLeaving() {
-		// What was begun goes on, as other boxes may fetch it from here.
+		// Downloads in progress continue, because other boxes may fetch chunks from this one.
 		l.announceSwap(time.Time{})
 		return
 	}
-	l.startDownload(want, want.newest())
-	version, at, ok := l.nextSwap(want, have)
+	l.startDownload(desired, desired.newest())
+	version, at, ok := l.nextSwap(desired, have)
 	l.announceSwap(at)
 	if !ok || l.options.Clock.Now().Before(at) {
 		return
 	}
-	if err := l.swap(ctx, want, version, have > 0); err != nil && ctx.Err() == nil {
-		l.options.Log.Warn().Str("model", string(want.model)).Uint64("version", uint64(version)).
+	if err := l.swap(ctx, desired, version, have > 0); err != nil && ctx.Err() == nil {
+		l.options.Log.Warn().Str("model", string(desired.model)).Uint64("version", uint64(version)).
 			Uint64("have", uint64(have)).Err(err).Msg("weights not taken, trying again")
 		sleep(ctx, l.options.Clock, loadRetryDelay)
 	}
 }
 
-// nextSwap returns the version that the server is to be swapped to, and when: the newest
-// that is whole here. ok is false if there is none.
-func (l *Loader) nextSwap(want *target, have fleet.WeightsVersion) (version fleet.WeightsVersion, at time.Time, ok bool) {
-	version, whole := l.newestComplete()
+// nextSwap returns the newest completely downloaded version and the time at which the server is to be swapped to
+// it. ok is false if no such version is newer than the loaded one.
+func (l *Loader) nextSwap(desired *target, have fleet.WeightsVersion) (version fleet.WeightsVersion, at time.Time, ok bool) {
+	version, completedAt := l.newestComplete()
 	switch {
 	case version <= have:
 		return 0, time.Time{}, false
 	case have == 0:
-		return version, whole, true
+		return version, completedAt, true
 	}
-	return version, l.swapTime(want, have, version, whole), true
+	return version, l.swapTime(desired, have, version, completedAt), true
 }
 
-// swapTimeTolerance is by how much a swap must move to be told again at once.
+// swapTimeTolerance is the smallest change of a swap time that is reported immediately.
 const swapTimeTolerance = 100 * time.Millisecond
 
-// announceSwap notes when the server is to be swapped, the zero time for not at all.
+// announceSwap sets the reported time of the next swap; the zero time means that none is scheduled. Changes
+// smaller than swapTimeTolerance are ignored.
 func (l *Loader) announceSwap(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -356,27 +361,28 @@
 	l.notify()
 }
 
-// Server streams the state of the backend server. Names and ages of versions are told
-// first and when they change.
+// Server streams the status of the backend server: at each urgent change and at least every statusHeartbeat.
+// Names are sent in the first message, and version ages in the first one and when they change.
 func (l *Loader) Server(_ *wire.FollowRequest, stream wire.DRPCFleet_ServerStream) error {
-	var told *wire.ServerStatus
-	var toldAt time.Time
+	var sent *wire.ServerStatus
+	var sentAt time.Time
 	for {
 		l.mu.Lock()
 		changed := l.changed
 		l.mu.Unlock()
 		status, known := l.serverStatus()
-		if known && (!isSameServerStatus(told, status, l.options.Clock.Since(toldAt)) || l.options.Clock.Since(toldAt) >= statusHeartbeat) {
-			message := serverStatusDelta(told, status)
-			if told == nil {
-				// An entry box that has just started may have nobody else to hear it from. Others tell it themselves.
+		if known && (!isSameServerStatus(sent, status, l.options.Clock.Since(sentAt)) || l.options.Clock.Since(sentAt) >= statusHeartbeat) {
+			message := serverStatusDelta(sent, status)
+			if sent == nil {
+				// An entry box that has just started may have no other source for the evidence against suspect
+				// requests. Later evidence comes from the other entry boxes.
 				evidence, _ := l.options.SuspectRequests.Since(0)
 				message.Evidence = evidenceToWire(evidence, l.options.Clock.Now())
 			}
 			if err := stream.Send(message); err != nil {
 				return err
 			}
-			told, toldAt = status, l.options.Clock.Now()
+			sent, sentAt = status, l.options.Clock.Now()
 		}
 		select {
 		case <-stream.Context().Done():
@@ -388,26 +394,27 @@
 	}
 }
 
-// serverStatusDelta leaves out what the receiver was told before and does not change.
-func serverStatusDelta(told, status *wire.ServerStatus) *wire.ServerStatus {
-	if told == nil {
+// serverStatusDelta returns the message for a status without the names and ages that the receiver has from the
+// last status that was sent. The last status is nil before the first message.
+func serverStatusDelta(sent, status *wire.ServerStatus) *wire.ServerStatus {
+	if sent == nil {
 		return status
 	}
-	brief := &wire.ServerStatus{
+	delta := &wire.ServerStatus{
 		Version: status.Version, Whole: status.Whole, Swapping: status.Swapping, Running: status.Running, Waiting: status.Waiting,
 		MemoryUsed: status.MemoryUsed, MemoryTotal: status.MemoryTotal, Pace: status.Pace, SwapInMilliseconds: status.SwapInMilliseconds,
 		Incarnation: status.Incarnation, Leaving: status.Leaving,
 	}
-	if !slices.EqualFunc(told.Ages, status.Ages, func(a, b *wire.VersionAge) bool { return a.Model == b.Model && a.Version == b.Version }) {
-		brief.Ages = status.Ages
+	if !slices.EqualFunc(sent.Ages, status.Ages, func(a, b *wire.VersionAge) bool { return a.Model == b.Model && a.Version == b.Version }) {
+		delta.Ages = status.Ages
 	}
-	return brief
+	return delta
 }
 
-// serverStatus is what is told of the server; ok is false until the agent knows what the
-// server's weights are called, or has asked it for the first time.
+// serverStatus returns the status of the server for the entry boxes. ok is false until the agent knows the
+// server's model and has requested a report for the first time.
 func (l *Loader) serverStatus() (status *wire.ServerStatus, ok bool) {
-	want, known := l.target()
+	desired, known := l.target()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	status = &wire.ServerStatus{
@@ -420,25 +427,26 @@
 		status.SwapInMilliseconds = uint64(max(1, l.swapAt.Sub(l.options.Clock.Now()).Milliseconds()))
 	}
 	if known && !l.reportAt.IsZero() {
-		status.Model = string(want.model)
-		version := loadedVersion(&l.report, want.model, want.engine.Layers)
+		status.Model = string(desired.model)
+		version := loadedVersion(&l.report, desired.model, desired.engine.Layers)
 		status.Version, status.Whole = uint64(version), version > 0
 	}
 	return status, known && l.polled
 }
 
-// isSameServerStatus reports whether entry boxes need not be told again at once that were
-// told a status some time ago.
-func isSameServerStatus(told, status *wire.ServerStatus, ago time.Duration) bool {
-	return told != nil && told.Incarnation == status.Incarnation && told.Leaving == status.Leaving && told.Swapping == status.Swapping && told.Whole == status.Whole && told.Version == status.Version &&
-		isSameSwapTime(told.SwapInMilliseconds, status.SwapInMilliseconds, ago)
+// isSameServerStatus reports whether a status has no urgent change since the last one sent. ago is the time since
+// that one was sent.
+func isSameServerStatus(sent, status *wire.ServerStatus, ago time.Duration) bool {
+	return sent != nil && sent.Incarnation == status.Incarnation && sent.Leaving == status.Leaving && sent.Swapping == status.Swapping && sent.Whole == status.Whole && sent.Version == status.Version &&
+		isSameSwapTime(sent.SwapInMilliseconds, status.SwapInMilliseconds, ago)
 }
 
-// isSameSwapTime reports whether a swap that was told some time ago has not moved.
-func isSameSwapTime(told, now uint64, ago time.Duration) bool {
-	if told == 0 || now == 0 {
-		return told == now
+// isSameSwapTime reports whether the time of the next swap has changed by less than swapTimeTolerance. Both times
+// are in milliseconds from the sending of their message, 0 for none; ago is the time between the messages.
+func isSameSwapTime(sent, now uint64, ago time.Duration) bool {
+	if sent == 0 || now == 0 {
+		return sent == now
 	}
-	moved := time.Duration(int64(now)-int64(told))*time.Millisecond + ago
+	moved := time.Duration(int64(now)-int64(sent))*time.Millisecond + ago
 	return moved.Abs() < swapTimeTolerance
 }
--- a/internal/direct/scenario_test.go
+++ b/internal/direct/scenario_test.go
@@ -9,13 +9,14 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// waitTimeout bounds each wait of a scenario, never to judge speed.
+// waitTimeout is the timeout of each wait of a scenario. It only bounds failing runs and is no check of speed.
 const waitTimeout = 30 * time.Second
 
+// deploymentKey is the key of the testDeployment in the values of a script's environment.
 type deploymentKey struct{}
 
-// TestScenarios runs the scripts of testdata against entry boxes and agents in
-// this process, with stand-ins of the platform on 127.0.0.0/8.
+// TestScenarios runs the scripts in testdata against entry boxes and agents in this process, with stand-ins for
+// the platform's services on 127.0.0.0/8.
 func TestScenarios(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
@@ -61,7 +62,7 @@
 	})
 }
 
-// command adapts a method of the world, which returns an error to fail.
+// command adapts a method of testDeployment to a script command. The command fails if the method returns an error.
 func command(run func(w *testDeployment, args []string) error) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		w := ts.Value(deploymentKey{}).(*testDeployment)
@@ -75,19 +76,20 @@
 	}
 }
 
-// parseOptions reads arguments of the form name=value.
+// parseOptions parses arguments of the form name=value.
 func parseOptions(args []string) map[string]string {
-	read := make(map[string]string)
+	options := make(map[string]string)
 	for _, arg := range args {
 		name, value, _ := strings.Cut(arg, "=")
-		read[name] = value
+		options[name] = value
 	}
-	return read
+	return options
 }
 
-func parseInt(text string, otherwise int) int {
+// parseInt returns the integer in a text, or a default if the text is not an integer.
+func parseInt(text string, fallback int) int {
 	if n, err := strconv.Atoi(text); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/direct/suspend_test.go
+++ b/internal/direct/suspend_test.go
@@ -9,7 +9,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// machineClock is the clock of a machine that may be suspended: it goes on meanwhile, and timers do not.
+// machineClock is the clock of a machine that may be suspended. The time advances during the suspension, but timers
+// do not.
 type machineClock struct {
 	clockwork.Clock
 	suspended atomic.Int64
@@ -23,27 +24,29 @@
 
 func (c *machineClock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
 
-// cmdSuspend lets a process wake on a machine that was suspended for a time: suspend entry-1 1h.
+// cmdSuspend simulates that the machine of a process was suspended for a duration and has just resumed:
+// suspend entry-1 1h.
 func (w *testDeployment) cmdSuspend(args []string) error {
-	lasted, err := time.ParseDuration(args[1])
-	w.clocks[args[0]].suspended.Add(int64(lasted))
+	duration, err := time.ParseDuration(args[1])
+	w.clocks[args[0]].suspended.Add(int64(duration))
 	return err
 }
 
-// cmdStopAfter ends a process in a planned stop, which must last for a time at least: stays entry-1 3s.
+// cmdStopAfter stops a process in a planned stop and checks that the stop takes at least a duration:
+// stays entry-1 3s.
 func (w *testDeployment) cmdStopAfter(args []string) error {
-	least, err := time.ParseDuration(args[1])
+	minimum, err := time.ParseDuration(args[1])
 	if err != nil {
 		return err
 	}
-	began := time.Now()
+	started := time.Now()
 	process := w.processes[args[0]]
 	delete(w.processes, args[0])
 	if err := process.Stop(context.Background()); err != nil {
 		return err
 	}
-	if lasted := time.Since(began); lasted < least {
-		return fmt.Errorf("%s ended after %s, want %s at least", args[0], lasted, least)
+	if duration := time.Since(started); duration < minimum {
+		return fmt.Errorf("%s stopped after %s, want at least %s", args[0], duration, minimum)
 	}
 	return nil
 }
--- a/internal/direct/versiondownload.go
+++ b/internal/direct/versiondownload.go
@@ -14,67 +14,67 @@
 )
 
 const (
-	// downloadGroups is in how many groups servers get their copies, downloadStagger the
-	// time between two of them. Longer ones leave links unused.
+	// downloadGroups is the number of groups in which servers download a version, and downloadStagger the
+	// delay between the starts of two groups. A longer delay leaves links unused.
 	downloadGroups  = 3
 	downloadStagger = 300 * time.Millisecond
-	// swapTimeout bounds the wait until the server holds what it was ordered to
-	// take; streams that run are finished first.
+	// swapTimeout limits the time in which the server must have loaded the ordered version. It includes the
+	// running streams, which the server finishes first.
 	swapTimeout = 10 * time.Second
-	// swapNotice is how long before the order entry boxes are told to send the
-	// server nothing more.
+	// swapNotice is how long before the load order entry boxes are notified to send the server no more
+	// requests. The wait ends earlier if the server is idle.
 	swapNotice = 400 * time.Millisecond
 )
 
-// versionDownload is the fetching of one version.
+// versionDownload is the download of one version, in progress or complete.
 type versionDownload struct {
 	cancel context.CancelFunc
-	// completedAt is when the last piece came; zero until then.
+	// completedAt is when the last chunk was received; zero until then.
 	completedAt time.Time
 }
 
-// startDownload fetches a version unless that has begun. Older ones that have begun
-// go on, because the origin may be gone before the newer one has come round.
-func (l *Loader) startDownload(want *target, version fleet.WeightsVersion) {
+// startDownload starts the download of a version unless it has been started before. Downloads of older versions
+// continue, because the origin may become unavailable before the newer version is complete.
+func (l *Loader) startDownload(desired *target, version fleet.WeightsVersion) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.downloads[version] != nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(l.tasks.Context())
-	held := &versionDownload{cancel: cancel}
-	l.downloads[version] = held
-	l.tasks.Go(func(context.Context) { l.download(ctx, want, version, held) })
+	d := &versionDownload{cancel: cancel}
+	l.downloads[version] = d
+	l.tasks.Go(func(context.Context) { l.download(ctx, desired, version, d) })
 }
 
-// cancelDownloads ends all fetching; the pieces that came stay.
+// cancelDownloads cancels and removes all downloads. Chunks that have been received stay in the store.
 func (l *Loader) cancelDownloads() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for version, held := range l.downloads {
-		held.cancel()
+	for version, d := range l.downloads {
+		d.cancel()
 		delete(l.downloads, version)
 	}
 }
 
-// newestComplete returns the newest version of which all pieces are here, and since
-// when; 0 if there is none.
+// newestComplete returns the newest version of which all chunks have been downloaded, and the time at which its
+// download was complete. The version is 0 if there is none.
 func (l *Loader) newestComplete() (newest fleet.WeightsVersion, since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for version, held := range l.downloads {
-		if !held.completedAt.IsZero() && version > newest {
-			newest, since = version, held.completedAt
+	for version, d := range l.downloads {
+		if !d.completedAt.IsZero() && version > newest {
+			newest, since = version, d.completedAt
 		}
 	}
 	return newest, since
 }
 
-// markComplete notes a copy that is whole and ends the older ones.
-func (l *Loader) markComplete(version fleet.WeightsVersion, held *versionDownload) {
+// markComplete marks a download as complete and cancels the downloads of older versions.
+func (l *Loader) markComplete(version fleet.WeightsVersion, d *versionDownload) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held.completedAt = l.options.Clock.Now()
+	d.completedAt = l.options.Clock.Now()
 	for older, other := range l.downloads {
 		if older < version {
 			other.cancel()
@@ -82,111 +82,113 @@
 	}
 }
 
-// download fetches the pieces of a version until all are here.
-func (l *Loader) download(ctx context.Context, want *target, version fleet.WeightsVersion, held *versionDownload) {
+// download fetches the manifest and the chunks of a version, and retries until all chunks have been received or
+// the context ends.
+func (l *Loader) download(ctx context.Context, desired *target, version fleet.WeightsVersion, d *versionDownload) {
 	started := l.options.Clock.Now()
 	for ctx.Err() == nil {
-		early := l.startEarlyFetches(ctx, want, version)
-		manifest, err := l.manifest(ctx, want, version)
+		early := l.startEarlyFetches(ctx, desired, version)
+		manifest, err := l.manifest(ctx, desired, version)
 		if err == nil {
-			l.importStaged(ctx, want, version, manifest)
-			err = l.fetchChunks(ctx, want, version, manifest, early)
+			l.importStaged(ctx, desired, version, manifest)
+			err = l.fetchChunks(ctx, desired, version, manifest, early)
 		}
 		early.stopNew()
 		if err == nil {
-			l.options.Log.Info().Str("model", string(want.model)).Uint64("version", uint64(version)).
+			l.options.Log.Info().Str("model", string(desired.model)).Uint64("version", uint64(version)).
 				Dur("taken_ms", l.options.Clock.Since(started)).Msg("weights fetched")
-			l.markComplete(version, held)
+			l.markComplete(version, d)
 			return
 		}
 		if ctx.Err() == nil {
-			l.options.Log.Info().Str("model", string(want.model)).Uint64("version", uint64(version)).
-				Err(err).Msg("weights not fetched, trying again")
+			l.options.Log.Info().Str("model", string(desired.model)).Uint64("version", uint64(version)).
+				Err(err).Msg("fetching weights failed, trying again")
 		}
 		sleep(ctx, l.options.Clock, loadRetryDelay)
 		if now, known := l.target(); known {
-			want = &now
+			desired = &now
 		}
 	}
 }
 
-// swap stages a version and orders the server to take it. What is staged replaces
-// what lay there, so the server is told to take nothing new only afterwards.
-func (l *Loader) swap(ctx context.Context, want *target, version fleet.WeightsVersion, serving bool) error {
-	manifest, err := l.manifest(ctx, want, version)
+// swap stages a version and orders the server to load it. Staging replaces the chunks that were staged before and
+// does not interrupt requests, so the server is marked as swapping only after it.
+func (l *Loader) swap(ctx context.Context, desired *target, version fleet.WeightsVersion, serving bool) error {
+	manifest, err := l.manifest(ctx, desired, version)
 	if err != nil {
 		return err
 	}
-	if err := l.stage(ctx, want, manifest); err != nil {
-		return fmt.Errorf("staging: %w", err)
+	if err := l.stage(ctx, desired, manifest); err != nil {
+		return fmt.Errorf("staging chunks: %w", err)
 	}
 	defer l.setSwapping(false)
 	if serving {
 		l.setSwapping(true)
 		l.awaitIdle(ctx, swapNotice)
 	}
-	return l.orderSwap(ctx, want, version, serving)
+	return l.orderSwap(ctx, desired, version, serving)
 }
 
-// awaitIdle waits until nothing runs on the server, at most for a time.
+// awaitIdle waits until the server is idle, at most for the given duration.
 func (l *Loader) awaitIdle(ctx context.Context, wait time.Duration) {
 	until := l.options.Clock.Now().Add(wait)
-	// The entry boxes hear of it within a few round trips.
+	// The status reaches the entry boxes within a few round trips.
 	sleep(ctx, l.options.Clock, reportInterval)
 	for ctx.Err() == nil && l.options.Clock.Now().Before(until) && !l.isIdle() {
 		sleep(ctx, l.options.Clock, reportInterval/2)
 	}
 }
 
-// isIdle reports whether the server runs nothing and nothing waits there.
+// isIdle reports whether the server has no running and no queued requests. It is false if the last request for a
+// report failed.
 func (l *Loader) isIdle() bool {
-	report, answers := l.serverReport()
-	return answers && report.Running+report.Waiting == 0
+	report, responding := l.serverReport()
+	return responding && report.Running+report.Waiting == 0
 }
 
-// swapTime is when this server is to be swapped from one version to another, whose copy
-// was whole at a time.
-func (l *Loader) swapTime(want *target, have, version fleet.WeightsVersion, whole time.Time) time.Time {
-	named := want.published.PublishedAt(version)
-	barred, ok := want.published.CutoffTime(have, l.options.VersionBound)
-	if !ok || named.IsZero() {
-		return whole
+// swapTime returns when this server is to be swapped from the version that it has to another one, whose download
+// was complete at completedAt.
+func (l *Loader) swapTime(desired *target, have, version fleet.WeightsVersion, completedAt time.Time) time.Time {
+	publishedAt := desired.published.PublishedAt(version)
+	cutoff, ok := desired.published.CutoffTime(have, l.options.VersionBound)
+	if !ok || publishedAt.IsZero() {
+		return completedAt
 	}
-	place, servers := l.swapPosition(want, version)
-	return weights.SwapWindow{Published: named, Cutoff: barred, Position: place, Servers: servers}.Start(whole)
+	position, servers := l.swapPosition(desired, version)
+	return weights.SwapWindow{Published: publishedAt, Cutoff: cutoff, Position: position, Servers: servers}.Start(completedAt)
 }
 
-// swapPosition is this server's place in the order of the swaps to a version, and how
-// many servers there are. One that is not among those that stay comes last.
-func (l *Loader) swapPosition(want *target, version fleet.WeightsVersion) (place, servers int) {
-	addresses := make([]member.Address, 0, len(want.servers))
-	for _, server := range want.servers {
+// swapPosition returns the position of this server in the order of swaps to a version, from 0, and the number of
+// servers in the order. A server that is not in the order, because it is leaving or not listed, comes last.
+func (l *Loader) swapPosition(desired *target, version fleet.WeightsVersion) (position, servers int) {
+	addresses := make([]member.Address, 0, len(desired.servers))
+	for _, server := range desired.servers {
 		addresses = append(addresses, server.Address)
 	}
-	order := member.Rank(fmt.Sprintf("swap/%s/%d", want.model, version), addresses, len(addresses))
-	if place = slices.Index(order, l.options.Address); place < 0 {
-		place = len(order)
+	order := member.Rank(fmt.Sprintf("swap/%s/%d", desired.model, version), addresses, len(addresses))
+	if position = slices.Index(order, l.options.Address); position < 0 {
+		position = len(order)
 	}
-	return place, max(1, len(order))
+	return position, max(1, len(order))
 }
 
-// restrictedUntil is until when this box leaves the links to those whose servers are
-// swapped before its own. A server without weights does not wait.
-func (l *Loader) restrictedUntil(want *target, version fleet.WeightsVersion) time.Time {
-	report, answers := l.serverReport()
-	since := want.published.PublishedAt(version)
-	if since.IsZero() || answers && loadedVersion(&report, want.model, want.engine.Layers) == 0 {
+// restrictedUntil returns the time until which this box leaves the capacity of the links to boxes whose servers
+// are swapped earlier. It is zero for a server without weights, which need not wait.
+func (l *Loader) restrictedUntil(desired *target, version fleet.WeightsVersion) time.Time {
+	report, responding := l.serverReport()
+	publishedAt := desired.published.PublishedAt(version)
+	if publishedAt.IsZero() || responding && loadedVersion(&report, desired.model, desired.engine.Layers) == 0 {
 		return time.Time{}
 	}
-	place, servers := l.swapPosition(want, version)
-	return since.Add(downloadStagger * time.Duration(place*downloadGroups/servers))
+	position, servers := l.swapPosition(desired, version)
+	return publishedAt.Add(downloadStagger * time.Duration(position*downloadGroups/servers))
 }
 
-// stage hands every piece to the server and reads it back: what lies there may
-// have turned bad.
-func (l *Loader) stage(ctx context.Context, want *target, manifest *weights.Manifest) error {
+// stage writes every chunk to the server's staging area and reads it back. Chunks that are staged already are read
+// too, because they may have been corrupted.
+func (l *Loader) stage(ctx context.Context, desired *target, manifest *weights.Manifest) error {
 	for index := range manifest.Chunks {
-		if l.isRecentlyVerified(manifest, index) || l.verifyStaged(ctx, want, manifest, index) {
+		if l.isRecentlyVerified(manifest, index) || l.verifyStaged(ctx, desired, manifest, index) {
 			continue
 		}
 		data, err := l.store.Get(manifest.Digest(), index)
@@ -194,31 +196,31 @@
 			return err
 		}
 		callCtx, cancel := context.WithTimeout(ctx, serverCallTimeout)
-		err = l.options.Server.Stage(callCtx, want.model, index, data)
+		err = l.options.Server.Stage(callCtx, desired.model, index, data)
 		cancel()
 		if err != nil {
 			return err
 		}
-		if !l.verifyStaged(ctx, want, manifest, index) {
-			return fmt.Errorf("piece %d reads back wrong: %w", index, weights.ErrDigestMismatch)
+		if !l.verifyStaged(ctx, desired, manifest, index) {
+			return fmt.Errorf("verifying staged chunk %d: %w", index, weights.ErrDigestMismatch)
 		}
 	}
 	return nil
 }
 
-// stagedValidity is for how long a piece counts as right that was just read from the server.
-// After a loss of power the server waits for each of them to be read; what turns bad
-// within a second would not be found by reading it a little earlier or later either.
+// stagedValidity is how long a staged chunk counts as verified after it was read from the server. After a loss of
+// power the server has no weights until all chunks are verified, so they are not read twice. A second read within
+// this time would not reliably detect corruption either, because it may also happen just after that read.
 const stagedValidity = time.Second
 
-// isRecentlyVerified reports whether the right bytes of a piece were read from the server just now.
+// isRecentlyVerified reports whether a staged chunk was verified less than stagedValidity ago.
 func (l *Loader) isRecentlyVerified(manifest *weights.Manifest, index int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.verified.digest == manifest.Digest() && l.options.Clock.Since(l.verified.at[index]) < stagedValidity
 }
 
-// noteVerified notes that the right bytes of a piece were read from the server.
+// noteVerified records that a staged chunk was read from the server and matches its digest.
 func (l *Loader) noteVerified(manifest *weights.Manifest, index int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -228,31 +230,31 @@
 	l.verified.at[index] = l.options.Clock.Now()
 }
 
-// verifiedChunks are when the right bytes of a version's pieces were last read from the
-// server.
+// verifiedChunks holds the times at which the staged chunks of one version were last verified.
 type verifiedChunks struct {
 	digest weights.Digest
 	at     map[int]time.Time
 }
 
-// verifyStaged reports whether the server holds the right bytes of a piece.
-func (l *Loader) verifyStaged(ctx context.Context, want *target, manifest *weights.Manifest, index int) bool {
+// verifyStaged reads a staged chunk from the server and reports whether it matches its digest.
+func (l *Loader) verifyStaged(ctx context.Context, desired *target, manifest *weights.Manifest, index int) bool {
 	callCtx, cancel := context.WithTimeout(ctx, serverCallTimeout)
 	defer cancel()
-	data, err := l.options.Server.ReadStaged(callCtx, want.model, index)
+	data, err := l.options.Server.ReadStaged(callCtx, desired.model, index)
 	return err == nil && manifest.Hash.Sum(data) == manifest.Chunks[index].Digest
 }
 
-// importStaged takes over the pieces that lie at the server already.
-func (l *Loader) importStaged(ctx context.Context, want *target, version fleet.WeightsVersion, manifest *weights.Manifest) {
+// importStaged copies the missing chunks of a version that are staged at the server into the store. It stops if
+// chunk 0 is missing or belongs to another version.
+func (l *Loader) importStaged(ctx context.Context, desired *target, version fleet.WeightsVersion, manifest *weights.Manifest) {
 	held := l.store.Held(manifest.Digest())
-	taken := 0
+	imported := 0
 	for index := range manifest.Chunks {
 		if held.Has(index) {
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, serverCallTimeout)
-		data, err := l.options.Server.ReadStaged(callCtx, want.model, index)
+		data, err := l.options.Server.ReadStaged(callCtx, desired.model, index)
 		cancel()
 		if err != nil {
 			if index == 0 {
@@ -261,69 +263,69 @@
 			continue
 		}
 		if l.store.Put(manifest, index, data) == nil {
-			taken++
+			imported++
 			l.noteVerified(manifest, index)
 		} else if index == 0 {
 			return
 		}
 	}
-	if taken > 0 {
-		l.options.Log.Info().Str("model", string(want.model)).Uint64("version", uint64(version)).Int("pieces", taken).Msg("staged pieces taken over")
+	if imported > 0 {
+		l.options.Log.Info().Str("model", string(desired.model)).Uint64("version", uint64(version)).Int("pieces", imported).Msg("staged pieces taken over")
 	}
 }
 
-// importRunning takes over the pieces of the version that the server runs, so that other
-// agents can have them.
-func (l *Loader) importRunning(ctx context.Context, want *target, version fleet.WeightsVersion) error {
+// importRunning copies the staged chunks of the version that the server runs into the store, so that other agents
+// can fetch them. It does nothing if the agent already has the manifest of the version.
+func (l *Loader) importRunning(ctx context.Context, desired *target, version fleet.WeightsVersion) error {
 	l.mu.Lock()
-	_, known := l.manifests[publishedVersion{want.model, version}]
+	_, known := l.manifests[publishedVersion{desired.model, version}]
 	l.mu.Unlock()
 	if known {
 		return nil
 	}
-	manifest, err := l.manifest(ctx, want, version)
+	manifest, err := l.manifest(ctx, desired, version)
 	if err != nil {
 		return err
 	}
-	l.importStaged(ctx, want, version, manifest)
+	l.importStaged(ctx, desired, version, manifest)
 	return nil
 }
 
-// orderSwap tells the server to take what is staged and waits until it has.
-func (l *Loader) orderSwap(ctx context.Context, want *target, version fleet.WeightsVersion, serving bool) error {
+// orderSwap orders the server to load the staged version and waits until it has, at most for swapTimeout.
+func (l *Loader) orderSwap(ctx context.Context, desired *target, version fleet.WeightsVersion, serving bool) error {
 	before, _ := l.serverReport()
 	callCtx, cancel := context.WithTimeout(ctx, serverCallTimeout)
-	err := l.options.Server.Load(callCtx, provider.LoadOrder{Model: want.model, Version: version, AbortRunning: serving && want.resumable})
+	err := l.options.Server.Load(callCtx, provider.LoadOrder{Model: desired.model, Version: version, AbortRunning: serving && desired.resumable})
 	cancel()
 	l.options.Metrics.orders.WithLabelValues(resultLabel(err)).Inc()
-	l.options.Log.Info().Str("model", string(want.model)).Uint64("version", uint64(version)).
+	l.options.Log.Info().Str("model", string(desired.model)).Uint64("version", uint64(version)).
 		Str("address", string(l.options.Address)).Bool("serving", serving).Err(err).Msg("server ordered to take weights")
 	if err != nil {
-		return fmt.Errorf("ordering: %w", err)
+		return fmt.Errorf("ordering server to load weights: %w", err)
 	}
 	ordered := l.options.Clock.Now()
 	for ctx.Err() == nil && l.options.Clock.Since(ordered) < swapTimeout {
 		sleep(ctx, l.options.Clock, orderPollInterval)
 		if err := l.readReport(ctx); err != nil {
-			return fmt.Errorf("reading how far the order is: %w", err)
+			return fmt.Errorf("reading progress of load order: %w", err)
 		}
 		report, _ := l.serverReport()
 		if report.Incarnation != before.Incarnation && before.Incarnation != 0 {
 			return errServerRestarted
 		}
-		if loadedVersion(&report, want.model, want.engine.Layers) == version {
-			l.options.Log.Info().Str("model", string(want.model)).Uint64("version", uint64(version)).
+		if loadedVersion(&report, desired.model, desired.engine.Layers) == version {
+			l.options.Log.Info().Str("model", string(desired.model)).Uint64("version", uint64(version)).
 				Str("address", string(l.options.Address)).Dur("taken_ms", l.options.Clock.Since(ordered)).Msg("weights live")
 			return nil
 		}
 	}
-	return fmt.Errorf("server has not taken version %d of %s", version, want.model)
+	return fmt.Errorf("server has not loaded version %d of %s before the timeout", version, desired.model)
 }
 
-// errServerRestarted reports an order that went with the start of the server that had it.
-var errServerRestarted = errors.New("server has started again since the order")
+// errServerRestarted is returned if the server has restarted after a load order and has lost the order.
+var errServerRestarted = errors.New("server has restarted since the load order")
 
-// resultLabel is how the result of a call stands in metrics.
+// resultLabel returns the metric label value for the result of a call.
 func resultLabel(err error) string {
 	if err != nil {
 		return "failed"
--- a/internal/direct/versiondownload_test.go
+++ b/internal/direct/versiondownload_test.go
@@ -15,8 +15,8 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// After a loss of power each piece was read twice before the server was ordered to take
-// them.
+// Guards against staged chunks being read twice before the load order after a loss of power: once to import them
+// and once more to stage them.
 func TestRecentlyVerifiedChunksAreNotReadAgain(t *testing.T) {
 	content := make([]byte, 10<<10)
 	for i := range content {
@@ -40,28 +40,28 @@
 		}},
 		store: weights.NewMemoryStore(1 << 20),
 	}
-	want := &target{model: "m"}
-	l.importStaged(t.Context(), want, 1, manifest)
+	desired := &target{model: "m"}
+	l.importStaged(t.Context(), desired, 1, manifest)
 	require.Equal(t, 10, reads)
-	require.NoError(t, l.stage(t.Context(), want, manifest))
+	require.NoError(t, l.stage(t.Context(), desired, manifest))
 	require.Equal(t, 10, reads)
 	clock.Advance(stagedValidity)
-	require.NoError(t, l.stage(t.Context(), want, manifest))
-	require.Equal(t, 20, reads, "what was read a while ago may have turned bad")
+	require.NoError(t, l.stage(t.Context(), desired, manifest))
+	require.Equal(t, 20, reads, "chunks verified a while ago may be corrupted since")
 }
 
-// Pieces crossed to a region 1.6 times where links were narrower than the patience was
-// made for.
+// Guards against a fixed timeout for chunks that another box of the region fetches: on links slower than the
+// timeout assumed, each chunk crossed to a region 1.6 times on average.
 func TestRemoteTimeoutCoversLinkTime(t *testing.T) {
 	l := &Loader{options: LoaderOptions{LinkMbps: 8}}
-	want := &target{engine: &fleet.Engine{Chunks: 64, ChunkSize: 1 << 15}}
-	require.Equal(t, defaultMaxRemoteWait, l.maxRemoteWait(want), "the origin's link is not known")
-	want.origin.OriginMbps = 16
-	require.InDelta(t, 1.05+2.1, l.maxRemoteWait(want).Seconds(), 0.01)
+	desired := &target{engine: &fleet.Engine{Chunks: 64, ChunkSize: 1 << 15}}
+	require.Equal(t, defaultMaxRemoteWait, l.maxRemoteWait(desired), "rate of the origin's link is not known")
+	desired.origin.OriginMbps = 16
+	require.InDelta(t, 1.05+2.1, l.maxRemoteWait(desired).Seconds(), 0.01)
 }
 
-// Two agents read the manifest and all others asked them, so that hundreds held each other up
-// for seconds before the first piece.
+// Guards against a delay of seconds before the first chunk: when two agents read the manifest from the origin and
+// served all others, hundreds of requests queued at these two.
 func TestManifestRequestsAreSpreadOverTree(t *testing.T) {
 	const perRegion = 41
 	agents := make([]member.Record, 0, perRegion)
@@ -69,7 +69,7 @@
 		agents = append(agents, member.Record{Box: member.BoxID(fmt.Sprintf("agent-%d", i)), Region: regionLocal})
 	}
 	agents = append(agents, member.Record{Box: "far", Region: regionRemote})
-	below, readers := make(map[member.BoxID]int), 0
+	children, readers := make(map[member.BoxID]int), 0
 	for i := range perRegion {
 		self, steps := agents[i].Box, 0
 		parent, ok := manifestParent(agents, self, "m", 2)
@@ -77,20 +77,21 @@
 			readers++
 			continue
 		}
-		below[parent]++
+		children[parent]++
 		for ; ok; steps++ {
 			self = parent
 			parent, ok = manifestParent(agents, self, "m", 2)
 		}
 		require.LessOrEqual(t, steps, 3)
 	}
-	require.Equal(t, member.MaxRoots, readers, "the origin sends a manifest to two of each region")
-	require.NotContains(t, below, member.BoxID("far"))
-	for agent, asking := range below {
-		require.LessOrEqual(t, asking, 3*member.Fanout, "%s", agent)
+	require.Equal(t, member.MaxRoots, readers, "two agents of a region read the manifest from the origin")
+	require.NotContains(t, children, member.BoxID("far"))
+	for agent, count := range children {
+		require.LessOrEqual(t, count, 3*member.Fanout, "%s", agent)
 	}
 }
 
+// Guards against every agent reading the manifest from the origin if the settings do not contain its region.
 func TestAgentsOfUnknownRegionUseManifestTree(t *testing.T) {
 	agents := []member.Record{{Box: "a", Region: regionRemote}, {Box: "b", Region: regionRemote}, {Box: "c", Region: regionRemote}}
 	readers := 0
