--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -26,17 +26,16 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// The benchmarks of this file give the slopes from which docs/CAPACITY.md is
-// worked out.
+// The benchmarks in this file measure the costs per unit that docs/CAPACITY.md uses.
 
-// cpuTime is what this process has used so far.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// newCountingPeerPool counts the bytes that cross its connections, both ways.
+// newCountingPeerPool returns a pool that counts the bytes sent and received on its connections.
 func newCountingPeerPool(counter *atomic.Int64) *PeerPool {
 	p := NewPeerPool()
 	open := p.dial
@@ -64,7 +63,7 @@
 	return n, err
 }
 
-// benchRecord is a record of the usual length.
+// benchRecord returns a record of typical length.
 func benchRecord(i int, role member.Role) member.Record {
 	record := member.Record{
 		Box: member.BoxID(fmt.Sprintf("kita-a-%s-%05d", role, i)), Role: role, Region: "kita", FailureDomain: "kita-a",
@@ -103,7 +102,7 @@
 	return items
 }
 
-// An entry box's memory for what it holds of the whole fleet.
+// BenchmarkEntryMemory measures the memory of an entry box for its records of the whole fleet.
 func BenchmarkEntryMemory(b *testing.B) {
 	for _, agents := range []int{1_000, 12_000} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
@@ -132,7 +131,7 @@
 	return stats.HeapAlloc
 }
 
-// What one change of a box's record costs an entry box that reads it.
+// BenchmarkViewApply measures the cost for an entry box of applying one changed record.
 func BenchmarkViewApply(b *testing.B) {
 	items := benchItems(b, 12_000, 2_000)
 	view := NewView(state.NewStore(1), "kita", nopLogger())
@@ -150,7 +149,7 @@
 	}
 }
 
-// One heartbeat, both ends of it in this process.
+// BenchmarkHeartbeat measures one heartbeat. Sender and monitor are both in this process.
 func BenchmarkHeartbeat(b *testing.B) {
 	store := state.NewStore(1)
 	view := NewView(store, "kita", nopLogger())
@@ -200,7 +199,7 @@
 	return member.Address(listener.Addr().String()), func() { _ = server.Stop(context.Background()) }
 }
 
-// benchEntry is one entry box of the dissemination benchmark.
+// benchEntry is an entry box of BenchmarkDissemination.
 type benchEntry struct {
 	store   *state.Store
 	view    *View
@@ -210,8 +209,8 @@
 	stop    func()
 }
 
-// A change at one entry box of a region until it is in force at every other, over
-// real connections, and the bytes that the busiest box sees for it.
+// BenchmarkDissemination measures the time for a change at one entry box of a region to reach
+// every other one over real connections, and the bytes per change at the busiest box.
 func BenchmarkDissemination(b *testing.B) {
 	for _, count := range []int{7, 50, 200, 366} {
 		b.Run(fmt.Sprintf("entries=%d", count), func(b *testing.B) { benchDissemination(b, count) })
@@ -239,12 +238,12 @@
 	for b.Loop() {
 		change++
 		version := state.Version{Major: change}
-		begun := time.Now()
+		published := time.Now()
 		entries[int(change)%count].replica.Publish(state.Item{Key: key, Version: version, Value: value})
-		waitForAll(b, entries, func(e *benchEntry) bool { held, _ := e.store.Get(key); return held.Version == version })
-		times = append(times, time.Since(begun))
+		waitForAll(b, entries, func(e *benchEntry) bool { item, _ := e.store.Get(key); return item.Version == version })
+		times = append(times, time.Since(published))
 	}
-	used := cpuTime() - started
+	usedCPU := cpuTime() - started
 	busiest := int64(0)
 	for _, e := range entries {
 		busiest = max(busiest, e.bytes.Load())
@@ -253,7 +252,7 @@
 	b.ReportMetric(float64(times[len(times)/2])/1e6, "p50-ms")
 	b.ReportMetric(float64(times[len(times)*99/100])/1e6, "p99-ms")
 	b.ReportMetric(float64(busiest)/float64(len(times)), "busiest-bytes/change")
-	b.ReportMetric(float64(used)/float64(len(times)*count), "cpu-ns/change/entry")
+	b.ReportMetric(float64(usedCPU)/float64(len(times)*count), "cpu-ns/change/entry")
 }
 
 func waitForAll(b *testing.B, entries []*benchEntry, check func(*benchEntry) bool) {
@@ -262,15 +261,15 @@
 	for _, e := range entries {
 		for !check(e) {
 			if time.Now().After(deadline) {
-				b.Fatal("the change does not arrive")
+				b.Fatal("timed out waiting for the change to arrive")
 			}
 			time.Sleep(200 * time.Microsecond)
 		}
 	}
 }
 
-// startBenchEntries starts entry boxes that all know each other. Each counts the
-// bytes of the connections that it opens and of those that it accepts.
+// startBenchEntries starts entry boxes that hold the records of each other. Each counts the
+// bytes on the connections that it opens and accepts.
 func startBenchEntries(b *testing.B, count int) []*benchEntry {
 	b.Helper()
 	entries := make([]*benchEntry, count)
@@ -315,16 +314,16 @@
 	return &countingConn{conn, l.bytes}, err
 }
 
-// One small request from entry box to backend server and back, against the same
-// request sent straight to the backend server.
+// BenchmarkRequest compares a small request through an entry box and an agent with the
+// same request sent directly to the backend server.
 func BenchmarkRequest(b *testing.B) {
 	base, stop := startBenchBackend(b, echoRequest)
 	defer stop()
 	direct := &benchCaller{client: newBackendClient(false), url: base + "/path"}
 	defer direct.client.CloseIdleConnections()
-	through := startBenchCaller(b, base)
-	defer through.stop()
-	for name, caller := range map[string]*benchCaller{"direct": direct, "through": through} {
+	proxied := startBenchCaller(b, base)
+	defer proxied.stop()
+	for name, caller := range map[string]*benchCaller{"direct": direct, "through": proxied} {
 		b.Run(name, func(b *testing.B) {
 			require.Equal(b, http.StatusAccepted, caller.send(b))
 			started := cpuTime()
@@ -337,11 +336,11 @@
 	}
 }
 
-// streamFrames is how many frames the answers of BenchmarkStream have.
+// streamFrames is the number of frames in each response of BenchmarkStream.
 const streamFrames = 500
 
-// One frame of a streamed answer on its way from backend server to caller. All
-// ends are in this process, so the figure bounds each of them from above.
+// BenchmarkStream measures one frame of a streamed response from backend server to caller. All
+// parts run in this process, so the figure is an upper bound for each of them.
 func BenchmarkStream(b *testing.B) {
 	base, stop := startBenchBackend(b, func(w http.ResponseWriter, _ *http.Request) {
 		controller := http.NewResponseController(w)
@@ -361,7 +360,7 @@
 	b.ReportMetric(float64(cpuTime()-started)/float64(b.N*streamFrames), "cpu-ns/frame")
 }
 
-// The memory of answers in progress, all ends in this process.
+// BenchmarkActiveStreams measures the memory of responses in progress. All parts run in this process.
 func BenchmarkActiveStreams(b *testing.B) {
 	const streams = 400
 	base, stop := startBenchBackend(b, func(w http.ResponseWriter, r *http.Request) {
@@ -399,7 +398,7 @@
 	return "http://" + listener.Addr().String(), func() { _ = backend.Close() }
 }
 
-// benchCaller is a caller before an entry box and an agent.
+// benchCaller sends requests to a URL of a backend server or an entry box.
 type benchCaller struct {
 	client *http.Client
 	url    string
@@ -420,9 +419,9 @@
 	b.Helper()
 	record := benchRecord(1, member.RoleAgent)
 	record.Services = []member.Service{"chizu"}
-	gate := NewBackendProxy("", map[member.Service]string{"chizu": backend}, nil, func() member.Record { return record }, clockwork.NewRealClock(), nopLogger(), NewMetrics())
+	proxy := NewBackendProxy("", map[member.Service]string{"chizu": backend}, nil, func() member.Record { return record }, clockwork.NewRealClock(), nopLogger(), NewMetrics())
 	mux := drpcmux.New()
-	require.NoError(b, wire.DRPCRegisterBackend(mux, gate))
+	require.NoError(b, wire.DRPCRegisterBackend(mux, proxy))
 	address, stop := listenBenchPeers(b, mux)
 	record.Peers = address
 	store := state.NewStore(1)
--- a/internal/daemon/boxlist.go
+++ b/internal/daemon/boxlist.go
@@ -17,18 +17,18 @@
 
 const (
 	boxListInterval = 5 * time.Second
-	// maxAbsentLists is in how many lists in a row a silent box must be absent
-	// before it is forgotten.
+	// maxAbsentLists is the number of consecutive lists without a box after which its record
+	// is deleted, if the box is not up.
 	maxAbsentLists = 2
 )
 
-// leavingPrefix starts the key of a hint that the platform lists a box as
-// leaving. Its version is the incarnation that it is about.
+// leavingPrefix is the key prefix of hints that the platform lists a box as leaving.
+// The major version of the item is the incarnation of the box.
 const leavingPrefix = "leaving/"
 
-// BoxListPoller compares the platform's lagging box list with the records. A box that
-// is listed as leaving gets no new work, even if it has not said so itself; a
-// silent box that is no longer listed is forgotten.
+// BoxListPoller compares the platform's box list, which lags behind, with the records of boxes.
+// A box that is listed as leaving gets no new work, even if it has not announced this itself.
+// The record of a box that is neither up nor listed is deleted.
 type BoxListPoller struct {
 	boxList provider.BoxList
 	view    *View
@@ -43,47 +43,47 @@
 	absentCounts map[member.BoxID]int
 }
 
-// NewBoxListPoller reads the list once, then goes on reading it while isRelay holds.
+// NewBoxListPoller starts a poller, which reads the list every 5 seconds while isRelay returns true.
 func NewBoxListPoller(list provider.BoxList, view *View, replica *Replica, clock clockwork.Clock, log zerolog.Logger, isRelay func() bool) *BoxListPoller {
-	l := &BoxListPoller{
+	p := &BoxListPoller{
 		boxList: list, view: view, replica: replica, clock: clock, log: log, isRelay: isRelay,
 		tasks: kernel.NewTaskGroup(), absentCounts: make(map[member.BoxID]int),
 	}
-	l.tasks.Go(l.run)
-	return l
+	p.tasks.Go(p.run)
+	return p
 }
 
 // String returns the service's name.
-func (l *BoxListPoller) String() string { return "lister" }
+func (p *BoxListPoller) String() string { return "lister" }
 
-// Stop ends reading the list.
-func (l *BoxListPoller) Stop(ctx context.Context) error { return l.tasks.Stop(ctx) }
+// Stop ends the polling.
+func (p *BoxListPoller) Stop(ctx context.Context) error { return p.tasks.Stop(ctx) }
 
-// Entries returns the peer addresses of the entry boxes last listed.
-func (l *BoxListPoller) Entries() []member.Address {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.entries
+// Entries returns the peer addresses of the live entry boxes in the most recent list.
+func (p *BoxListPoller) Entries() []member.Address {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.entries
 }
 
-func (l *BoxListPoller) run(ctx context.Context) {
+func (p *BoxListPoller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if l.isRelay() {
-			l.poll(ctx)
+		if p.isRelay() {
+			p.poll(ctx)
 		}
 		select {
 		case <-ctx.Done():
-		case <-l.clock.After(boxListInterval):
+		case <-p.clock.After(boxListInterval):
 		}
 	}
 }
 
-func (l *BoxListPoller) poll(ctx context.Context) {
+func (p *BoxListPoller) poll(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
-	listed, err := l.boxList.List(callCtx)
+	listed, err := p.boxList.List(callCtx)
 	if err != nil {
-		l.log.Debug().Err(err).Msg("box list cannot be read")
+		p.log.Debug().Err(err).Msg("cannot read box list; retrying at the next poll")
 		return
 	}
 	present := make(map[member.BoxID]bool, len(listed))
@@ -94,37 +94,37 @@
 			entries = append(entries, box.PeerAddress)
 		}
 		if box.State == provider.ListedLeaving {
-			l.publishLeaving(box.Box)
+			p.publishLeaving(box.Box)
 		}
 	}
-	l.mu.Lock()
-	l.entries = entries
-	l.mu.Unlock()
-	l.deleteAbsent(present)
+	p.mu.Lock()
+	p.entries = entries
+	p.mu.Unlock()
+	p.deleteAbsent(present)
 }
 
-func (l *BoxListPoller) publishLeaving(box member.BoxID) {
-	record, ok := l.view.Member(box)
+func (p *BoxListPoller) publishLeaving(box member.BoxID) {
+	record, ok := p.view.Member(box)
 	if !ok || record.Status != member.StatusUp {
 		return
 	}
-	l.log.Info().Str("box", string(box)).Msg("platform lists box as leaving")
-	l.replica.Publish(state.Item{Key: leavingPrefix + string(box), Version: state.Version{Major: uint64(record.Incarnation)}})
+	p.log.Info().Str("box", string(box)).Msg("platform lists box as leaving")
+	p.replica.Publish(state.Item{Key: leavingPrefix + string(box), Version: state.Version{Major: uint64(record.Incarnation)}})
 }
 
-func (l *BoxListPoller) deleteAbsent(present map[member.BoxID]bool) {
-	for _, record := range l.view.Members() {
+func (p *BoxListPoller) deleteAbsent(present map[member.BoxID]bool) {
+	for _, record := range p.view.Members() {
 		if present[record.Box] || record.Status == member.StatusUp {
-			delete(l.absentCounts, record.Box)
+			delete(p.absentCounts, record.Box)
 			continue
 		}
-		l.absentCounts[record.Box]++
-		if l.absentCounts[record.Box] < maxAbsentLists {
+		p.absentCounts[record.Box]++
+		if p.absentCounts[record.Box] < maxAbsentLists {
 			continue
 		}
-		delete(l.absentCounts, record.Box)
-		l.log.Info().Str("box", string(record.Box)).Msg("box forgotten")
-		l.replica.Publish(state.Item{
+		delete(p.absentCounts, record.Box)
+		p.log.Info().Str("box", string(record.Box)).Msg("record of absent box deleted")
+		p.replica.Publish(state.Item{
 			Key:     member.KeyPrefix + string(record.Box),
 			Version: state.Version{Major: uint64(record.Incarnation), Minor: math.MaxUint64},
 			Deleted: true,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,25 +1,24 @@
-// Package daemon holds the services of an entry box and of an agent, and the
-// steps that start them.
+// Package daemon provides the services of an entry box and of an agent, and the steps that start them.
 //
 // # Entry box
 //
-//	Replica        keeps the replicated items in step with the relays
-//	View           reads them into the form that decisions need
-//	Heart          the box's own record and its heartbeats
-//	Monitor        takes heartbeats, marks boxes silent, hands out assignments
-//	Configuration  follows the table in the key-value service and makes edits
-//	Planner        computes plans while it holds the lease
-//	Lister         compares the platform's box list with the records
-//	Callers        answers callers
-//	Operators      answers operators
+//	Replica         synchronizes the replicated items with other entry boxes
+//	View            decodes the replicated items and indexes them for routing and planning
+//	Heartbeater     publishes the box's own record and sends heartbeats
+//	Monitor         receives heartbeats, marks boxes silent, sends assignments
+//	TableStore      follows the table in the key-value service and applies edits
+//	Planner         computes plans while it holds the lease
+//	BoxListPoller   compares the platform's box list with the records
+//	CallerServer    serves callers
+//	OperatorServer  serves operators
 //
 // # Agent
 //
-//	Heart          the box's own record and its heartbeats
-//	Copier         fetches, verifies, loads and drops versions
-//	ChunkServer    gives chunks to other agents
-//	Gate           the last check before a backend server
-//	Operators      metrics and health checks
+//	Heartbeater     publishes the box's own record and sends heartbeats
+//	Loader          fetches, verifies, loads and drops versions
+//	ChunkServer     serves chunks to other agents
+//	BackendProxy    checks a request and proxies it to the backend server
+//	OperatorServer  serves metrics and health checks
 //
 // # Usage
 //
@@ -48,13 +47,13 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// Options are what a process gets from outside its settings.
+// Options holds the dependencies of a process that its settings don't provide.
 type Options struct {
 	Clock clockwork.Clock
 	Log   zerolog.Logger
 }
 
-// Process is one running role.
+// Process is a running entry box or agent.
 type Process struct {
 	services     *kernel.Registry
 	settings     *settings.Settings
@@ -72,18 +71,18 @@
 	mux              *drpcmux.Mux
 }
 
-// Step is one part of starting a process.
+// Step is one step of starting a process.
 type Step interface {
-	// String names the step in logs and errors.
+	// String returns the name of the step in logs and errors.
 	String() string
-	// Skip reports whether the role does without the step.
+	// Skip reports whether the role of the process does not need the step.
 	Skip(p *Process) bool
-	// Run does the step.
+	// Run executes the step.
 	Run(p *Process) error
 }
 
-// Start runs the steps of a role in order. If one fails, what was started is
-// stopped again.
+// Start runs the startup steps of the configured role in order. If a step fails,
+// Start stops the services that are already running and returns the error.
 func Start(loaded *settings.Settings, options Options) (*Process, error) {
 	p := &Process{
 		services: kernel.New(), settings: loaded, options: options,
@@ -100,7 +99,7 @@
 	return p, nil
 }
 
-// platformIdleConns bounds the unused connections kept to a platform service.
+// platformIdleConns is the maximum number of idle connections to a platform service.
 const platformIdleConns = 8
 
 func newPlatformClient() *http.Client {
@@ -110,10 +109,10 @@
 	}}
 }
 
-// stepFunc runs a step; middleware wraps it.
+// stepFunc runs a step. Middleware wraps it.
 type stepFunc func(p *Process, step Step) error
 
-// runUnlessSkipped leaves out a step that the role does without.
+// runUnlessSkipped runs a step unless the role does not need it.
 func runUnlessSkipped(p *Process, step Step) error {
 	if step.Skip(p) {
 		return nil
@@ -121,7 +120,7 @@
 	return step.Run(p)
 }
 
-// withLogging writes a line for each step.
+// withLogging logs the duration and the error of each step.
 func withLogging(run stepFunc) stepFunc {
 	return func(p *Process, step Step) error {
 		started := p.options.Clock.Now()
@@ -130,13 +129,13 @@
 		if err != nil {
 			event = p.options.Log.Error().Err(err)
 		}
-		event.Str("step", step.String()).Dur("taken_ms", p.options.Clock.Since(started)).Msg("step done")
+		event.Str("step", step.String()).Dur("taken_ms", p.options.Clock.Since(started)).Msg("startup step finished")
 		return err
 	}
 }
 
-// Stop is a planned stop: the box announces that it is leaving, finishes what is
-// in progress and ends every service, within the grace of the settings.
+// Stop shuts the process down gracefully: it announces that the box is leaving, finishes requests
+// in progress and stops every service, within the grace period of the settings.
 func (p *Process) Stop(ctx context.Context) error {
 	stopCtx, cancel := context.WithTimeout(ctx, time.Duration(p.settings.Stop.Grace))
 	defer cancel()
@@ -146,7 +145,7 @@
 	return err
 }
 
-// announceLeaving announces that the box is leaving and waits until its monitors know.
+// announceLeaving announces that the box is leaving and waits for the responses of its monitors.
 func (p *Process) announceLeaving() {
 	if p.heartbeater.Record().Status == member.StatusLeaving {
 		return
@@ -158,7 +157,7 @@
 	p.heartbeater.Announce(ctx)
 }
 
-// CallersAddress returns where callers are answered; empty on an agent.
+// CallersAddress returns the address for callers, or an empty string on an agent.
 func (p *Process) CallersAddress() string {
 	if p.callerSocket == nil {
 		return ""
@@ -166,10 +165,10 @@
 	return p.callerSocket.address
 }
 
-// OperatorsAddress returns where operators are answered.
+// OperatorsAddress returns the address for operators.
 func (p *Process) OperatorsAddress() string { return listenerAddress(p.operatorListener) }
 
-// PeersAddress returns where other processes are answered.
+// PeersAddress returns the address for other processes of the system.
 func (p *Process) PeersAddress() string { return listenerAddress(p.peerListener) }
 
 func listenerAddress(listener net.Listener) string {
@@ -179,7 +178,7 @@
 	return listener.Addr().String()
 }
 
-// record is the box's own record as the settings give it.
+// record returns the box's own record according to the settings.
 func (p *Process) record(role member.Role) member.Record {
 	return member.Record{
 		Box: member.BoxID(p.settings.Box), Role: role,
@@ -188,8 +187,8 @@
 	}
 }
 
-// sources are asked in order: the weight store first, because bytes drawn from
-// the origin are the ones that are scarce.
+// sources returns the weight sources in the order of use. The weight store comes first,
+// because bandwidth from the origin is scarce.
 func (p *Process) sources() []provider.WeightSource {
 	return []provider.WeightSource{
 		provider.NewWeightSource("weight-store", p.settings.Platform.WeightStore, p.client),
@@ -207,8 +206,8 @@
 	return addresses
 }
 
-// IsServing reports whether an entry box answers callers and has a live box for
-// every row of the table in force.
+// IsServing reports whether an entry box accepts callers and knows a live box for
+// every row of the current table.
 func (p *Process) IsServing() bool {
 	view, err := kernel.Find[*View](p.services, "view")
 	if err != nil {
@@ -216,9 +215,9 @@
 	}
 	rows, _ := view.Rows()
 	for _, row := range rows {
-		decided, ok := view.RowPlan(row.Key())
-		place := route.ServiceVersion{Service: member.Service(row.Model), Version: decided.Serving}
-		if !ok || view.Router().Count(place) == 0 {
+		rowPlan, ok := view.RowPlan(row.Key())
+		version := route.ServiceVersion{Service: member.Service(row.Model), Version: rowPlan.Serving}
+		if !ok || view.Router().Count(version) == 0 {
 			return false
 		}
 	}
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -26,7 +26,7 @@
 		goleak.IgnoreAnyFunction("net/http.(*persistConn).writeLoop"))
 }
 
-// waitTimeout bounds each wait of a test; it never judges speed.
+// waitTimeout bounds each wait of a test. It is not a limit on speed.
 const waitTimeout = 20 * time.Second
 
 func eventually(t *testing.T, check func() bool, what string) {
@@ -38,7 +38,7 @@
 
 func copyBody(w io.Writer, response *http.Response) (int64, error) { return io.Copy(w, response.Body) }
 
-// listenPeers answers other processes until the test ends.
+// listenPeers serves a mux to other processes until the test ends.
 func listenPeers(t *testing.T, mux *drpcmux.Mux) member.Address {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -71,7 +71,7 @@
 	return server.URL
 }
 
-// testNode is an entry box's replicated state without its listeners.
+// testNode is the replicated state of an entry box without listeners.
 type testNode struct {
 	store   *state.Store
 	view    *View
@@ -95,12 +95,12 @@
 
 func always() bool { return true }
 
-// fixedListener gives a listener that is open already.
+// fixedListener returns a function that returns the given listener.
 func fixedListener(listener net.Listener) func() (net.Listener, error) {
 	return func() (net.Listener, error) { return listener, nil }
 }
 
-// testPlatform is a key-value service and a weight source that a test can break.
+// testPlatform provides a key-value service and a weight source with fault injection.
 type testPlatform struct {
 	kvServer *standin.KeyValue
 	registry *standin.Registry
--- a/internal/daemon/heartbeater.go
+++ b/internal/daemon/heartbeater.go
@@ -14,22 +14,22 @@
 	"github.com/cinderslip/cinderslip/pkg/state"
 )
 
-// monitorsPerBox is how many entry boxes hear each box.
+// monitorsPerBox is the number of entry boxes to which each box sends its heartbeats.
 const monitorsPerBox = 2
 
-// HeartbeaterOptions are the seams of a Heart.
+// HeartbeaterOptions configures a Heartbeater.
 type HeartbeaterOptions struct {
 	Peers    *PeerPool
 	Clock    clockwork.Clock
 	Log      zerolog.Logger
 	Interval time.Duration
-	// Monitors names entry boxes, the preferred first.
+	// Monitors returns the entry boxes that may receive heartbeats, the preferred ones first.
 	Monitors func() []member.Address
-	// FillRequest adds what goes with each heartbeat, beside the record.
+	// FillRequest adds fields other than the record to each heartbeat.
 	FillRequest func(request *wire.HeartbeatRequest)
-	// OnResponse is told each answer.
-	OnResponse func(monitor member.Address, answer *wire.HeartbeatResponse)
-	// OnChange is told each new version of the record, before it is sent.
+	// OnResponse is called with each response.
+	OnResponse func(monitor member.Address, response *wire.HeartbeatResponse)
+	// OnChange is called with each new version of the record before it is sent. It may be nil.
 	OnChange func(record member.Record)
 }
 
@@ -41,12 +41,12 @@
 
 	mu     sync.Mutex
 	record member.Record
-	// knownVersions is the version that each monitor is known to hold.
+	// knownVersions holds the version of the record in the last response of each monitor.
 	knownVersions map[member.Address]state.Version
 }
 
-// NewHeartbeater starts to send heartbeats for a record. Its incarnation is the time
-// of the start, so that it goes up with each start.
+// NewHeartbeater starts sending heartbeats for a record. The incarnation of the record is
+// the start time, so that it increases with each start.
 func NewHeartbeater(record member.Record, options HeartbeaterOptions) *Heartbeater {
 	record.Incarnation = member.Incarnation(options.Clock.Now().UnixNano())
 	record.Sequence = 1
@@ -65,7 +65,7 @@
 // String returns the service's name.
 func (h *Heartbeater) String() string { return "heart" }
 
-// Stop ends the heartbeats.
+// Stop ends the sending of heartbeats.
 func (h *Heartbeater) Stop(ctx context.Context) error { return h.tasks.Stop(ctx) }
 
 // Record returns the box's own record.
@@ -75,7 +75,7 @@
 	return h.record
 }
 
-// Update changes the record and sends it at once.
+// Update changes the record and triggers an immediate heartbeat.
 func (h *Heartbeater) Update(change func(record *member.Record)) {
 	h.mu.Lock()
 	change(&h.record)
@@ -95,7 +95,7 @@
 	}
 }
 
-// Announce sends the record to the monitors now and waits for their answers.
+// Announce sends the record to the monitors and waits for their responses.
 func (h *Heartbeater) Announce(ctx context.Context) { h.sendAll(ctx) }
 
 func (h *Heartbeater) run(ctx context.Context) {
@@ -110,8 +110,8 @@
 	}
 }
 
-// sendAll reaches the preferred monitors; one that does not answer is replaced
-// by the next that does.
+// sendAll sends a heartbeat to the preferred monitors. If a monitor does not respond,
+// the next one in the order of preference replaces it.
 func (h *Heartbeater) sendAll(ctx context.Context) {
 	var wait sync.WaitGroup
 	monitors := h.options.Monitors()
@@ -130,20 +130,21 @@
 	wait.Wait()
 }
 
-// send reports whether the monitor answered.
+// send sends a heartbeat and reports whether the monitor responded. It sends a second one
+// if the response shows that the monitor lacks the current record.
 func (h *Heartbeater) send(ctx context.Context, monitor member.Address) bool {
 	for range 2 {
-		answer, record, err := h.call(ctx, monitor)
+		response, record, err := h.call(ctx, monitor)
 		if err != nil {
 			h.options.Log.Debug().Str("monitor", string(monitor)).Err(err).Msg("heartbeat failed")
 			return false
 		}
-		h.options.OnResponse(monitor, answer)
-		known := state.Version{Major: answer.KnownIncarnation, Minor: answer.KnownSequence}
+		h.options.OnResponse(monitor, response)
+		known := state.Version{Major: response.KnownIncarnation, Minor: response.KnownSequence}
 		h.mu.Lock()
 		h.knownVersions[monitor] = known
 		h.mu.Unlock()
-		if h.refute(answer) {
+		if h.refute(response) {
 			continue
 		}
 		own := state.Version{Major: uint64(record.Incarnation), Minor: record.Sequence}
@@ -173,23 +174,23 @@
 	h.options.FillRequest(request)
 	callCtx, cancel := context.WithTimeout(ctx, max(h.options.Interval, dialTimeout))
 	defer cancel()
-	answer, err := wire.NewDRPCMonitorClient(h.options.Peers.Conn(monitor)).Heartbeat(callCtx, request)
-	return answer, record, err
+	response, err := wire.NewDRPCMonitorClient(h.options.Peers.Conn(monitor)).Heartbeat(callCtx, request)
+	return response, record, err
 }
 
-// refute writes a newer record when somebody has marked this box silent, or
-// holds a record of a later incarnation than this one, as after a clock that
-// was set back. It reports whether it did.
-func (h *Heartbeater) refute(answer *wire.HeartbeatResponse) bool {
+// refute raises the version of the own record if the monitor holds a newer one: another box marked
+// this box silent, or the clock was set back, so that the previous incarnation is higher than
+// the current one. It reports whether the version was raised.
+func (h *Heartbeater) refute(response *wire.HeartbeatResponse) bool {
 	h.mu.Lock()
-	known := state.Version{Major: answer.KnownIncarnation, Minor: answer.KnownSequence}
+	known := state.Version{Major: response.KnownIncarnation, Minor: response.KnownSequence}
 	own := state.Version{Major: uint64(h.record.Incarnation), Minor: h.record.Sequence}
-	ahead := known.Compare(own) > 0 || answer.Silent && known.Compare(own) == 0
+	ahead := known.Compare(own) > 0 || response.Silent && known.Compare(own) == 0
 	if ahead {
-		if answer.KnownIncarnation > uint64(h.record.Incarnation) {
-			h.record.Incarnation = member.Incarnation(answer.KnownIncarnation + 1)
+		if response.KnownIncarnation > uint64(h.record.Incarnation) {
+			h.record.Incarnation = member.Incarnation(response.KnownIncarnation + 1)
 		}
-		h.record.Sequence = max(h.record.Sequence, answer.KnownSequence) + 1
+		h.record.Sequence = max(h.record.Sequence, response.KnownSequence) + 1
 	}
 	record := h.record
 	h.mu.Unlock()
--- a/internal/daemon/leaseterm.go
+++ b/internal/daemon/leaseterm.go
@@ -11,24 +11,24 @@
 	"github.com/cinderslip/cinderslip/pkg/plan"
 )
 
-// leaseTerm is one time of holding the lease.
+// leaseTerm is the state of a planner while it holds the lease.
 type leaseTerm struct {
 	epoch    uint64
 	lease    provider.LeaseID
 	sequence uint64
-	// headRevision is that of the head in the key-value service, which the next
-	// swap expects.
+	// headRevision is the revision of the plan head in the key-value service.
+	// The next compare-and-swap expects it.
 	headRevision provider.Revision
-	// planDuration is how long the last plan took to compute.
+	// planDuration is the time that computing the last plan took.
 	planDuration time.Duration
-	// lost gets the reason when the lease can no longer be counted on.
+	// lost receives the cause when the lease is lost.
 	lost chan error
-	// stopRenewal ends the renewal.
+	// stopRenewal stops renewing the lease.
 	stopRenewal context.CancelFunc
 }
 
-// acquire takes the lease. It is renewed from the moment it is granted, because
-// with a slow key-value service the calls that follow take as long as a lease.
+// acquire acquires the lease. Renewal starts as soon as the lease is granted, because the calls
+// that follow can outlast the lease if the key-value service is slow.
 func (p *Planner) acquire(ctx context.Context) (*leaseTerm, error) {
 	sent := p.clock.Now()
 	p.metrics.keyValueCalls.WithLabelValues("lease").Inc()
@@ -48,24 +48,24 @@
 	return t, nil
 }
 
-// claimLease makes this planner the holder and its epoch the newest.
+// claimLease makes this planner the holder of the lease and writes its new epoch.
 func (p *Planner) claimLease(ctx context.Context, t *leaseTerm) error {
 	callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
 	p.metrics.keyValueCalls.WithLabelValues("swap").Inc()
-	revision, won, err := p.kv.CompareAndSwap(callCtx, plannerLeaseKey, []byte(p.self), 0, t.lease)
+	revision, swapped, err := p.kv.CompareAndSwap(callCtx, plannerLeaseKey, []byte(p.self), 0, t.lease)
 	if err != nil {
 		return err
 	}
-	if !won {
+	if !swapped {
 		return errSuperseded
 	}
 	t.epoch = uint64(revision)
 	return p.writeEpoch(ctx, t)
 }
 
-// writeEpoch writes the new epoch into the head, after which no plan of an older
-// epoch can win its swap.
+// writeEpoch writes the new epoch into the plan head. After that, the compare-and-swap of
+// a planner with an older epoch fails.
 func (p *Planner) writeEpoch(ctx context.Context, t *leaseTerm) error {
 	callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
@@ -95,11 +95,11 @@
 	callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
 	p.metrics.keyValueCalls.WithLabelValues("swap").Inc()
-	revision, won, err := p.kv.CompareAndSwap(callCtx, planHeadKey, value, t.headRevision, 0)
+	revision, swapped, err := p.kv.CompareAndSwap(callCtx, planHeadKey, value, t.headRevision, 0)
 	if err != nil {
 		return err
 	}
-	if !won {
+	if !swapped {
 		return errSuperseded
 	}
 	t.headRevision = revision
@@ -111,12 +111,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	if err := p.kv.Revoke(ctx, t.lease); err != nil {
-		p.log.Debug().Err(err).Msg("planner lease not revoked")
+		p.log.Debug().Err(err).Msg("cannot revoke planner lease; it stays until it expires")
 	}
 }
 
-// renew keeps the lease, counting its time from when a renewal was sent. A
-// renewal that is answered late still counts, as long as the lease lasts.
+// renew renews the lease until it is lost or the context ends. The term of the lease counts from
+// the time when the last successful renewal was sent. A renewal with a late response
+// still counts as long as the lease has not expired.
 func (p *Planner) renew(ctx context.Context, lease provider.LeaseID, renewed time.Time) error {
 	for {
 		select {
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 )
 
-// NewLogger returns a logger that writes one line of key=value pairs for each
-// event. The level has been checked with the settings.
+// NewLogger returns a logger that writes one line of key=value pairs for each event.
+// An invalid level means info; settings validation normally rejects it earlier.
 func NewLogger(w io.Writer, level string, clock clockwork.Clock) zerolog.Logger {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -33,12 +33,12 @@
 	return zerolog.New(zerolog.SyncWriter(writer)).Level(parsed).Hook(timestampHook{clock})
 }
 
-// timestampHook adds the time of the process's own clock.
+// timestampHook adds the time of the process's clock to each event.
 type timestampHook struct{ clock clockwork.Clock }
 
-// Run adds the time to an event.
-func (s timestampHook) Run(event *zerolog.Event, _ zerolog.Level, _ string) {
-	event.Str(zerolog.TimestampFieldName, s.clock.Now().UTC().Format(time.RFC3339Nano))
+// Run adds the timestamp to an event.
+func (h timestampHook) Run(event *zerolog.Event, _ zerolog.Level, _ string) {
+	event.Str(zerolog.TimestampFieldName, h.clock.Now().UTC().Format(time.RFC3339Nano))
 }
 
 func keyValueFormatter(key string) zerolog.Formatter {
@@ -50,8 +50,8 @@
 	}
 }
 
-// quoteValue quotes a value that would not read back as one. Values that the
-// writer has quoted already are left alone.
+// quoteValue quotes an empty value and a value with white space, quotation marks or equals signs.
+// It returns values that the console writer has already quoted unchanged.
 func quoteValue(text string) string {
 	if strings.HasPrefix(text, `"`) && strings.HasSuffix(text, `"`) && len(text) > 1 {
 		return text
--- a/internal/daemon/logqueue.go
+++ b/internal/daemon/logqueue.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// logQueueLines is how many lines wait to be written; the burst of some seconds.
+	// logQueueLines is the capacity of the queue, enough for a burst of a few seconds.
 	logQueueLines = 4096
-	// maxLogLinesPerSecond is how many lines are taken a second: several for each request
-	// that one box can serve.
+	// maxLogLinesPerSecond is the maximum rate of accepted lines. It allows several lines
+	// for each request that one box can serve.
 	maxLogLinesPerSecond = 2000
 )
 
-// LogQueue writes log lines in the background, so that who logs never waits for
-// the output. Lines that come too fast or don't fit are dropped and counted; a
-// line tells of them once there is room.
+// LogQueue writes log lines in the background, so that logging never blocks on the output.
+// Lines beyond the rate limit or the capacity of the queue are dropped and counted.
+// A warning with their number precedes the next line that is written.
 type LogQueue struct {
 	out          io.Writer
 	clock        clockwork.Clock
 	lines        chan []byte
 	done         chan struct{}
 	droppedLines atomic.Int64
-	// OnDrop is called for each line that is dropped; it may be nil.
+	// OnDrop is called for each dropped line. It may be nil.
 	OnDrop func()
 
 	mu              sync.Mutex
@@ -37,29 +37,29 @@
 	started         time.Time
 }
 
-// NewLogQueue returns a queue that writes to an output until it is closed.
+// NewLogQueue returns a queue that writes to out until it is closed.
 func NewLogQueue(out io.Writer, clock clockwork.Clock) *LogQueue {
 	q := &LogQueue{out: out, clock: clock, lines: make(chan []byte, logQueueLines), done: make(chan struct{}), started: clock.Now()}
 	go q.drain()
 	return q
 }
 
-// Write takes a line. It never blocks and never fails.
+// Write enqueues a copy of a line or drops it. It never blocks on the output and never fails.
 func (q *LogQueue) Write(line []byte) (int, error) {
 	if !q.allow() {
 		q.drop()
 		return len(line), nil
 	}
-	kept := append([]byte(nil), line...)
+	lineCopy := append([]byte(nil), line...)
 	select {
-	case q.lines <- kept:
+	case q.lines <- lineCopy:
 	default:
 		q.drop()
 	}
 	return len(line), nil
 }
 
-// allow reports whether this second's lines are not used up.
+// allow counts a line and reports whether it is within the limit of the current second.
 func (q *LogQueue) allow() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -84,19 +84,18 @@
 		if line == nil {
 			return
 		}
-		if missed := q.droppedLines.Swap(0); missed > 0 {
-			_, _ = io.WriteString(q.out, "level=warn event=\"log lines dropped\" lines="+strconv.FormatInt(missed, 10)+"\n")
+		if dropped := q.droppedLines.Swap(0); dropped > 0 {
+			_, _ = io.WriteString(q.out, "level=warn event=\"log lines dropped\" lines="+strconv.FormatInt(dropped, 10)+"\n")
 		}
-		// There is nowhere to report that the output of the log has failed.
+		// The error is ignored: a failed log output cannot be logged.
 		_, _ = q.out.Write(line)
 	}
 }
 
-// Close writes what waits, at most until the context ends. What is written after
-// it is lost.
+// Close waits until the queued lines are written or the context ends. Lines enqueued later are lost.
 func (q *LogQueue) Close(ctx context.Context) {
 	select {
-	case q.lines <- nil: // nil stands for the end
+	case q.lines <- nil: // nil marks the end of the queue
 	case <-q.done:
 		return
 	case <-ctx.Done():
--- a/internal/daemon/logqueue_test.go
+++ b/internal/daemon/logqueue_test.go
@@ -13,15 +13,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// blockingWriter takes nothing until it is released.
+// blockingWriter blocks every write until release is closed.
 type blockingWriter struct {
 	release chan struct{}
 	bytes.Buffer
 }
 
-func (s *blockingWriter) Write(line []byte) (int, error) {
-	<-s.release
-	return s.Buffer.Write(line)
+func (w *blockingWriter) Write(line []byte) (int, error) {
+	<-w.release
+	return w.Buffer.Write(line)
 }
 
 func TestLoggingNeverBlocksOnOutput(t *testing.T) {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/cinderslip/cinderslip/internal/metric"
 )
 
-// Metrics are the counts of one process. Each process has a registry of its own.
+// Metrics holds the metrics of one process. Each process has its own registry.
 type Metrics struct {
 	registry *prometheus.Registry
 
@@ -29,11 +29,11 @@
 	gateRequests   *prometheus.CounterVec
 }
 
-// requestBuckets reach from a fast lookup to a long answer, in seconds.
+// requestBuckets are histogram bounds in seconds, from a fast lookup to a long response.
 var requestBuckets = []float64{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 120}
 
-// NewMetrics returns metrics with a registry that also holds those of the
-// process and the Go runtime.
+// NewMetrics returns metrics with a registry that also contains the metrics of the
+// operating system process and the Go runtime.
 func NewMetrics() *Metrics {
 	m := &Metrics{
 		registry:       prometheus.NewRegistry(),
--- a/internal/daemon/monitor.go
+++ b/internal/daemon/monitor.go
@@ -16,11 +16,11 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// maxAnnouncedEntries is how many entry boxes an agent learns, its monitors first.
+// maxAnnouncedEntries is the maximum number of entry boxes announced to a box, its monitors first.
 const maxAnnouncedEntries = 5
 
-// Monitor takes heartbeats: it publishes the records of boxes, marks boxes
-// silent, and tells agents their assignments and neighbours.
+// Monitor receives heartbeats. It publishes the records of boxes, marks boxes silent,
+// and sends agents their assignments and neighbours.
 type Monitor struct {
 	view       *View
 	replica    *Replica
@@ -31,11 +31,12 @@
 	metrics    *Metrics
 	peers      *PeerPool
 	ownAddress member.Address
-	// probeTimeout is how long a silent box and its other monitors are asked.
+	// probeTimeout bounds the calls to a box without heartbeats and to its other monitors.
 	probeTimeout time.Duration
 }
 
-// NewMonitor starts to look for silence.
+// NewMonitor starts a monitor. A box without heartbeats for the duration silence is
+// marked silent unless probes show that it is alive.
 func NewMonitor(own member.Address, view *View, replica *Replica, peers *PeerPool, clock clockwork.Clock, log zerolog.Logger,
 	metrics *Metrics, silence time.Duration,
 ) *Monitor {
@@ -52,7 +53,7 @@
 // String returns the service's name.
 func (m *Monitor) String() string { return "monitor" }
 
-// Stop ends looking for silence.
+// Stop ends the detection of silent boxes.
 func (m *Monitor) Stop(ctx context.Context) error { return m.tasks.Stop(ctx) }
 
 func (m *Monitor) watch(ctx context.Context, interval time.Duration) {
@@ -65,8 +66,7 @@
 		}
 		now := m.clock.Now()
 		if now.Sub(last) > 2*interval {
-			// This process itself stood still, so what it has not heard says
-			// nothing about the others.
+			// This process was paused, so missing heartbeats don't show that the other boxes are silent.
 			m.detector.ResetAll(now)
 		}
 		last = now
@@ -76,8 +76,9 @@
 	}
 }
 
-// probeSuspect asks the box itself and its other monitors before it marks the box: its
-// heartbeats may go elsewhere by now, or one link may be bad.
+// probeSuspect marks a box silent unless the box itself or one of its other monitors
+// shows that it is alive. The box may now send its heartbeats to other monitors,
+// or a single link may be down.
 func (m *Monitor) probeSuspect(ctx context.Context, box member.BoxID) {
 	record, ok := m.view.Member(box)
 	if !ok || record.Status == member.StatusSilent {
@@ -85,25 +86,25 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, m.probeTimeout)
 	defer cancel()
-	type answer struct{ alive, heard bool }
+	type probeResult struct{ alive, hasHeartbeat bool }
 	others := m.otherMonitors(record)
-	answers := make(chan answer, len(others)+1)
+	results := make(chan probeResult, len(others)+1)
 	go func() {
 		alive, err := wire.NewDRPCProbeClient(m.peers.Conn(record.Peers)).Alive(callCtx, &wire.AliveRequest{})
-		answers <- answer{alive: err == nil && alive.Box == string(box) && alive.Incarnation == uint64(record.Incarnation)}
+		results <- probeResult{alive: err == nil && alive.Box == string(box) && alive.Incarnation == uint64(record.Incarnation)}
 	}()
 	for _, other := range others {
 		go func() {
-			heard, err := wire.NewDRPCMonitorClient(m.peers.Conn(other)).Heard(callCtx, &wire.HeardRequest{Box: string(box)})
-			answers <- answer{heard: err == nil && heard.Heard}
+			response, err := wire.NewDRPCMonitorClient(m.peers.Conn(other)).Heard(callCtx, &wire.HeardRequest{Box: string(box)})
+			results <- probeResult{hasHeartbeat: err == nil && response.Heard}
 		}()
 	}
 	for range len(others) + 1 {
-		got := <-answers
-		if got.heard {
+		result := <-results
+		if result.hasHeartbeat {
 			return
 		}
-		if got.alive {
+		if result.alive {
 			m.detector.RecordHeartbeat(box, m.clock.Now())
 			return
 		}
@@ -113,19 +114,21 @@
 	}
 }
 
-// otherMonitors are those of the box's monitors that are not this one.
+// otherMonitors returns the monitors of a box without this one.
 func (m *Monitor) otherMonitors(record member.Record) []member.Address {
 	ranked := rankedMonitors(record.Box, m.view.Entries(record.Region))
 	others := slices.DeleteFunc(ranked, func(address member.Address) bool { return address == m.ownAddress })
 	return others[:min(monitorsPerBox, len(others))]
 }
 
-// Heard answers another monitor.
+// Heard handles the call of another monitor: it reports whether this monitor recently
+// received a heartbeat of a box.
 func (m *Monitor) Heard(_ context.Context, request *wire.HeardRequest) (*wire.HeardResponse, error) {
 	return &wire.HeardResponse{Heard: m.detector.HasRecentHeartbeat(member.BoxID(request.Box), m.clock.Now())}, nil
 }
 
-// markSilent publishes the version directly above the box's own.
+// markSilent publishes a silent record for a box. Its version directly follows that of the box's
+// own record, so that the next record of the box replaces it.
 func (m *Monitor) markSilent(box member.BoxID) {
 	record, ok := m.view.Member(box)
 	if !ok || record.Status == member.StatusSilent {
@@ -142,7 +145,7 @@
 	m.replica.Publish(item)
 }
 
-// Heartbeat answers a box.
+// Heartbeat handles a heartbeat of a box.
 func (m *Monitor) Heartbeat(_ context.Context, request *wire.HeartbeatRequest) (*wire.HeartbeatResponse, error) {
 	box := member.BoxID(request.Box)
 	m.detector.RecordHeartbeat(box, m.clock.Now())
@@ -152,16 +155,16 @@
 			return nil, err
 		}
 	}
-	answer := &wire.HeartbeatResponse{}
-	m.fillKnownVersion(box, answer)
-	m.fillAssignment(box, request, answer)
-	for _, wanted := range request.Wanted {
-		if swarm, ok := m.swarmFor(box, wanted); ok {
-			answer.Swarms = append(answer.Swarms, swarm)
+	response := &wire.HeartbeatResponse{}
+	m.fillKnownVersion(box, response)
+	m.fillAssignment(box, request, response)
+	for _, desired := range request.Wanted {
+		if swarm, ok := m.swarmFor(box, desired); ok {
+			response.Swarms = append(response.Swarms, swarm)
 		}
 	}
-	answer.Entries = m.entriesFor(box)
-	return answer, nil
+	response.Entries = m.entriesFor(box)
+	return response, nil
 }
 
 func (m *Monitor) publishRecord(raw []byte) error {
@@ -175,46 +178,47 @@
 	return nil
 }
 
-func (m *Monitor) fillKnownVersion(box member.BoxID, answer *wire.HeartbeatResponse) {
+func (m *Monitor) fillKnownVersion(box member.BoxID, response *wire.HeartbeatResponse) {
 	item, ok := m.replica.store.Lookup(member.KeyPrefix + string(box))
 	if !ok {
 		return
 	}
-	answer.KnownIncarnation = item.Version.Major
-	answer.KnownSequence = item.Version.Minor / 2
-	answer.Silent = item.Deleted || item.Version.Minor%2 == 1
+	response.KnownIncarnation = item.Version.Major
+	response.KnownSequence = item.Version.Minor / 2
+	response.Silent = item.Deleted || item.Version.Minor%2 == 1
 }
 
-func (m *Monitor) fillAssignment(box member.BoxID, request *wire.HeartbeatRequest, answer *wire.HeartbeatResponse) {
-	held, ok := m.view.assignment(box)
+func (m *Monitor) fillAssignment(box member.BoxID, request *wire.HeartbeatRequest, response *wire.HeartbeatResponse) {
+	current, ok := m.view.assignment(box)
 	if !ok {
 		return
 	}
-	answer.AssignmentMajor, answer.AssignmentMinor = held.version.Major, held.version.Minor
-	theirs := state.Version{Major: request.AssignmentMajor, Minor: request.AssignmentMinor}
-	if held.version.Compare(theirs) > 0 {
-		answer.Assignment = held.raw
+	response.AssignmentMajor, response.AssignmentMinor = current.version.Major, current.version.Minor
+	known := state.Version{Major: request.AssignmentMajor, Minor: request.AssignmentMinor}
+	if current.version.Compare(known) > 0 {
+		response.Assignment = current.raw
 	}
 }
 
-// swarmFor names the neighbours of a box for one manifest and, where the box does
-// not know them yet, all that want it. Boxes that are not up are left out.
-func (m *Monitor) swarmFor(box member.BoxID, wanted *wire.Wanted) (*wire.Swarm, bool) {
-	manifest, err := weights.DigestFromBytes(wanted.Manifest)
+// swarmFor returns the neighbours of a box for one manifest. If the box has an outdated list
+// of all boxes that are assigned the manifest, it returns that list too.
+// Boxes that are not up are omitted.
+func (m *Monitor) swarmFor(box member.BoxID, desired *wire.Wanted) (*wire.Swarm, bool) {
+	manifest, err := weights.DigestFromBytes(desired.Manifest)
 	if err != nil {
 		return nil, false
 	}
 	self, _ := m.view.Member(box)
-	carriers := m.swarmMembers(manifest)
-	swarm := &wire.Swarm{Manifest: wanted.Manifest, DrawersHash: hashBoxes(carriers)}
-	if swarm.DrawersHash != wanted.DrawersHash {
-		swarm.Drawers = swarmPeers(self, carriers)
+	members := m.swarmMembers(manifest)
+	swarm := &wire.Swarm{Manifest: desired.Manifest, DrawersHash: hashBoxes(members)}
+	if swarm.DrawersHash != desired.DrawersHash {
+		swarm.Drawers = swarmPeers(self, members)
 	}
-	swarm.Neighbours = swarmPeers(self, member.Neighbours(self, carriers))
+	swarm.Neighbours = swarmPeers(self, member.Neighbours(self, members))
 	return swarm, true
 }
 
-// swarmMembers are the boxes that are up and carry a manifest or are to.
+// swarmMembers returns the boxes that are up and are assigned a manifest.
 func (m *Monitor) swarmMembers(manifest weights.Digest) []member.Record {
 	boxes := m.view.Swarm(manifest)
 	records := make([]member.Record, 0, len(boxes))
@@ -246,7 +250,8 @@
 	return digest.Sum64()
 }
 
-// entriesFor ranks the entry boxes of a box's region; where it has none, all.
+// entriesFor returns the ranked entry boxes of a box's region, or those of all regions
+// if its region has fewer than monitorsPerBox.
 func (m *Monitor) entriesFor(box member.BoxID) []string {
 	self, _ := m.view.Member(box)
 	entries := m.view.Entries(self.Region)
@@ -260,7 +265,7 @@
 	return out
 }
 
-// rankedMonitors orders the entry boxes that hear a box.
+// rankedMonitors returns the addresses of the entry boxes that may monitor a box, the preferred first.
 func rankedMonitors(box member.BoxID, entries []member.Record) []member.Address {
 	addresses := make([]member.Address, 0, len(entries))
 	for _, entry := range entries {
--- a/internal/daemon/operatorserver.go
+++ b/internal/daemon/operatorserver.go
@@ -25,11 +25,11 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// maxPatchBytes bounds an edit, in bytes.
+// maxPatchBytes is the maximum size of the body of an edit.
 const maxPatchBytes = 1 << 20
 
-// OperatorServer answers operators over HTTP, apart from callers. Agents have only
-// the metrics and the health checks.
+// OperatorServer serves operators over HTTP, on a listener separate from that of callers.
+// On agents it serves only the metrics and the health checks.
 type OperatorServer struct {
 	options OperatorServerOptions
 	token   string
@@ -37,8 +37,7 @@
 	server  *http.Server
 }
 
-// OperatorServerOptions are the parts that Operators works with. View and
-// Configuration are nil on an agent.
+// OperatorServerOptions configures an OperatorServer. View and Table are nil on an agent.
 type OperatorServerOptions struct {
 	TokenFile  string
 	View       *View
@@ -48,17 +47,17 @@
 	Log        zerolog.Logger
 	EntriesTTL time.Duration
 	Self       func() member.Record
-	// Ready reports whether the process can do its work, and if not, why.
-	Ready func() (ok bool, why string)
+	// Ready reports whether the process is ready, and the reason if it is not.
+	Ready func() (ok bool, reason string)
 }
 
-// NewOperatorServer starts to answer on a listener.
+// NewOperatorServer starts serving operators on a listener. It returns an error if it cannot read the token file.
 func NewOperatorServer(listener net.Listener, options OperatorServerOptions) (*OperatorServer, error) {
 	o := &OperatorServer{options: options, tasks: kernel.NewTaskGroup()}
 	if options.TokenFile != "" {
 		content, err := os.ReadFile(options.TokenFile)
 		if err != nil {
-			return nil, fmt.Errorf("reading the operators' token: %w", err)
+			return nil, fmt.Errorf("reading operator token: %w", err)
 		}
 		o.token = strings.TrimSpace(string(content))
 	}
@@ -80,7 +79,7 @@
 	}
 	o.tasks.Go(func(context.Context) {
 		if err := o.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			options.Log.Error().Err(err).Msg("operators' listener failed")
+			options.Log.Error().Err(err).Msg("operator listener failed")
 		}
 	})
 	return o, nil
@@ -89,7 +88,7 @@
 // String returns the service's name.
 func (o *OperatorServer) String() string { return "operators" }
 
-// Stop finishes what is in progress.
+// Stop stops accepting requests and waits for those in progress.
 func (o *OperatorServer) Stop(ctx context.Context) error {
 	err := o.server.Shutdown(ctx)
 	return errors.Join(err, o.tasks.Stop(ctx))
@@ -97,8 +96,8 @@
 
 func (o *OperatorServer) authorize(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(e echo.Context) error {
-		given := strings.TrimPrefix(e.Request().Header.Get("Authorization"), "Bearer ")
-		if o.token != "" && subtle.ConstantTimeCompare([]byte(given), []byte(o.token)) != 1 {
+		bearer := strings.TrimPrefix(e.Request().Header.Get("Authorization"), "Bearer ")
+		if o.token != "" && subtle.ConstantTimeCompare([]byte(bearer), []byte(o.token)) != 1 {
 			e.Response().Header().Set("WWW-Authenticate", "Bearer")
 			writeProblem(e.Response(), Problem{Status: http.StatusUnauthorized, Detail: "want the operators' bearer token"})
 			return nil
@@ -108,14 +107,14 @@
 }
 
 func (o *OperatorServer) getReady(e echo.Context) error {
-	if ok, why := o.options.Ready(); !ok {
-		writeProblem(e.Response(), Problem{Status: http.StatusServiceUnavailable, Detail: why})
+	if ok, reason := o.options.Ready(); !ok {
+		writeProblem(e.Response(), Problem{Status: http.StatusServiceUnavailable, Detail: reason})
 		return nil
 	}
 	return e.String(http.StatusOK, "ready\n")
 }
 
-// TableResponse is the table in force.
+// TableResponse is the current table.
 type TableResponse struct {
 	Revision table.Revision `json:"revision"`
 	Rows     []table.Row    `json:"rows"`
@@ -135,7 +134,7 @@
 	return e.JSON(http.StatusOK, TableResponse{Revision: revision, Rows: rows})
 }
 
-// TablePatch is the body of an edit; its base revision is the If-Match header.
+// TablePatch is the body of an edit. The If-Match header holds the base revision.
 type TablePatch struct {
 	ID      table.EditID   `json:"id"`
 	Author  string         `json:"author"`
@@ -143,7 +142,7 @@
 	Changes []table.Change `json:"changes"`
 }
 
-// PatchResponse tells the revision at which an edit is in the table.
+// PatchResponse reports the table revision that an edit produced.
 type PatchResponse struct {
 	Edit     table.EditID   `json:"edit"`
 	Revision table.Revision `json:"revision"`
@@ -155,13 +154,13 @@
 		writeProblem(e.Response(), *problem)
 		return nil
 	}
-	held, err := o.options.Table.Edit(e.Request().Context(), edit)
+	edited, err := o.options.Table.Edit(e.Request().Context(), edit)
 	if err != nil {
 		writeProblem(e.Response(), editProblem(edit.ID, err))
 		return nil
 	}
-	record, _ := held.Find(edit.ID)
-	e.Response().Header().Set("ETag", etag(held.Revision))
+	record, _ := edited.Find(edit.ID)
+	e.Response().Header().Set("ETag", etag(edited.Revision))
 	return e.JSON(http.StatusOK, PatchResponse{Edit: edit.ID, Revision: record.Revision})
 }
 
@@ -186,7 +185,7 @@
 	}, nil
 }
 
-// editProblem tells what became of an edit that was not accepted.
+// editProblem converts the error of an edit into the problem for the response.
 func editProblem(id table.EditID, err error) Problem {
 	var conflict *table.ConflictError
 	var findings table.Findings
@@ -218,7 +217,7 @@
 	return e.JSON(http.StatusOK, records)
 }
 
-// getEdit settles an edit that was undecided.
+// getEdit returns the record of an edit. Operators use it to find out whether an undecided edit was applied.
 func (o *OperatorServer) getEdit(e echo.Context) error {
 	id := table.EditID(e.Param("id"))
 	record, found, err := o.options.Table.Find(e.Request().Context(), id)
@@ -233,7 +232,7 @@
 	return e.JSON(http.StatusOK, record)
 }
 
-// StatusResponse is what an entry box knows of the whole.
+// StatusResponse is an entry box's view of the whole system.
 type StatusResponse struct {
 	Self    member.Record        `json:"self"`
 	Table   table.Revision       `json:"table_revision"`
@@ -243,13 +242,13 @@
 	Desired []BoxDesiredVersions `json:"wanted"`
 }
 
-// RowStatus is a row of the table with what is in force for it.
+// RowStatus is a row of the table with its current plan.
 type RowStatus struct {
 	table.Row
 	Plan plan.RowPlan `json:"plan"`
 }
 
-// BoxDesiredVersions is what the plan wants on a box.
+// BoxDesiredVersions lists the versions that the plan assigns to a box.
 type BoxDesiredVersions struct {
 	Box      member.BoxID         `json:"box"`
 	Versions []plan.PinnedVersion `json:"weights"`
@@ -258,19 +257,19 @@
 func (o *OperatorServer) getStatus(e echo.Context) error {
 	rows, revision := o.options.View.Rows()
 	current, head := o.options.View.Plan()
-	answer := StatusResponse{
+	response := StatusResponse{
 		Self: o.options.Self(), Table: revision, Plan: head,
 		Rows: []RowStatus{}, Boxes: o.options.View.Members(), Desired: []BoxDesiredVersions{},
 	}
 	for _, row := range rows {
-		answer.Rows = append(answer.Rows, RowStatus{Row: row, Plan: current.Rows[row.Key()]})
+		response.Rows = append(response.Rows, RowStatus{Row: row, Plan: current.Rows[row.Key()]})
 	}
-	for _, record := range answer.Boxes {
+	for _, record := range response.Boxes {
 		if assignment, ok := current.Boxes[record.Box]; ok {
-			answer.Desired = append(answer.Desired, BoxDesiredVersions{Box: record.Box, Versions: assignment.Versions})
+			response.Desired = append(response.Desired, BoxDesiredVersions{Box: record.Box, Versions: assignment.Versions})
 		}
 	}
-	return e.JSON(http.StatusOK, answer)
+	return e.JSON(http.StatusOK, response)
 }
 
 func (o *OperatorServer) getEntries(e echo.Context) error {
--- a/internal/daemon/overlay.go
+++ b/internal/daemon/overlay.go
@@ -7,10 +7,10 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// Overlay works out from whom this entry box reads the replicated items and to
-// whom it hands its own. The entry boxes of a region form a tree; its roots, the
-// relays, read from the relays of all regions. It is worked out anew only when an
-// entry box has changed.
+// Overlay computes from which boxes this entry box pulls the replicated items and to which
+// it pushes its own changes. The entry boxes of a region form a tree. Its roots, the
+// relays, pull from the relays of all regions. The links are recomputed only when
+// the record of an entry box has changed.
 type Overlay struct {
 	view  *View
 	self  member.Record
@@ -24,21 +24,21 @@
 
 // Links are the connections of one entry box within the overlay.
 type Links struct {
-	// IsRelay is set for the roots of the region's tree.
+	// IsRelay reports whether the box is a root of its region's tree.
 	IsRelay bool
-	// PullSources holds sources to read from; of each element the first address that
-	// answers is read.
+	// PullSources holds the sources to pull from. Each source is a list of alternative addresses,
+	// the preferred first.
 	PullSources [][]member.Address
-	// LocalOnly is set where every source hands on only what came up to it, so
-	// that each item crosses once.
+	// LocalOnly limits pulls to the items that were published at the source or pushed to it, without
+	// those that it pulled, so that each item passes between two relays once.
 	LocalOnly bool
-	// PushTargets are the relays that take this box's own changes, the preferred first;
-	// empty for a relay.
+	// PushTargets holds the relays that accept this box's own changes, the preferred first.
+	// It is empty for a relay, unless the links consist of seeds.
 	PushTargets []member.Address
 }
 
-// NewOverlay returns the overlay as seen from a box. The seeds are used as long
-// as no other entry box is known.
+// NewOverlay returns the overlay from the point of view of a box. The box uses the seeds
+// as long as it has no other source to pull from.
 func NewOverlay(view *View, self member.Record, seeds func() []member.Address) *Overlay {
 	return &Overlay{view: view, self: self, seeds: seeds}
 }
@@ -46,7 +46,7 @@
 // IsRelay reports whether this box is a relay.
 func (o *Overlay) IsRelay() bool { return o.Links().IsRelay }
 
-// Links returns the connections that this box should have now.
+// Links returns the current links of this box.
 func (o *Overlay) Links() Links {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -72,16 +72,16 @@
 		addresses[entry.Box] = entry.Peers
 		regions[entry.Region] = append(regions[entry.Region], entry.Box)
 	}
-	own := member.NewTree(string(o.self.Region), regions[o.self.Region])
-	if len(regions[o.self.Region]) == 0 || own.IsRoot(o.self.Box) {
+	tree := member.NewTree(string(o.self.Region), regions[o.self.Region])
+	if len(regions[o.self.Region]) == 0 || tree.IsRoot(o.self.Box) {
 		return o.relayLinks(regions, addresses)
 	}
 	var relays []member.Address
-	for _, root := range own.Roots() {
+	for _, root := range tree.Roots() {
 		relays = append(relays, addresses[root])
 	}
 	sources := slices.Clone(relays)
-	if parent, ok := own.Parent(o.self.Box); ok {
+	if parent, ok := tree.Parent(o.self.Box); ok {
 		sources = append([]member.Address{addresses[parent]}, slices.DeleteFunc(sources, func(a member.Address) bool {
 			return a == addresses[parent]
 		})...)
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -21,32 +21,31 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// errDial reports that no connection could be opened, so that nothing was sent.
+// errDial means that the connection failed, so no part of the request was sent.
 var errDial = errors.New("cannot connect")
 
 const (
-	// dialTimeout bounds connecting to another process. It is many round trips between
-	// regions, and well below the second after which TCP sends a lost opening packet
-	// again: a box that had no power when it was called is called anew.
+	// dialTimeout bounds connecting to another process. It covers many round trips between
+	// regions and is well below the second after which TCP retransmits a lost SYN, so a box
+	// that was powered off during the first attempt gets a new attempt sooner.
 	dialTimeout = 300 * time.Millisecond
-	// maxMessageBytes bounds one message between the system's processes, in bytes.
+	// maxMessageBytes is the maximum size of a message between processes of the system.
 	maxMessageBytes = 16 << 20
-	// peerIdleConns bounds the unused connections kept to one peer.
+	// peerIdleConns is the maximum number of idle connections to one peer.
 	peerIdleConns = 32
-	// idleConnTimeout is how long an unused connection is kept.
+	// idleConnTimeout is the time after which an idle connection is closed.
 	idleConnTimeout = time.Minute
 )
 
-// PeerPool opens and keeps connections to other processes. A connection carries one
-// call at a time, so a peer has as many as there are calls in progress, and the
-// idle ones are kept for a while.
+// PeerPool is a pool of connections to other processes. A connection carries one call at a time,
+// so each call in progress has its own. Idle connections stay open for one minute.
 type PeerPool struct {
 	pool *drpcpool.Pool[member.Address, drpcpool.Conn]
 	// dial opens a connection.
 	dial func(ctx context.Context, address member.Address) (net.Conn, error)
 }
 
-// NewPeerPool returns peers without connections.
+// NewPeerPool returns an empty pool.
 func NewPeerPool() *PeerPool {
 	dialer := upstream.NewDialer(dialTimeout)
 	dial := func(ctx context.Context, address member.Address) (net.Conn, error) {
@@ -63,15 +62,15 @@
 // Stop closes the idle connections.
 func (p *PeerPool) Stop(context.Context) error { return p.pool.Close() }
 
-// Conn returns a connection for one call. The errors of the call wrap errDial if
-// the peer could not be reached.
+// Conn returns a pooled connection for one call. The error of the call wraps errDial if
+// the connection failed.
 func (p *PeerPool) Conn(address member.Address) drpc.Conn {
 	return p.pool.Get(context.Background(), address, p.connect)
 }
 
-// Dial returns a new connection, which is closed when the context ends. It is for calls that
-// must not wait on a kept connection: that may have gone silent, which only the time-out of
-// a call shows. The error wraps errDial if the peer could not be reached.
+// Dial returns a new connection, which is closed when the context ends. Use it for calls that must not
+// hang on a pooled connection: a pooled connection can be dead without an error, which only the
+// timeout of a call shows. The error wraps errDial if the connection failed.
 func (p *PeerPool) Dial(ctx context.Context, address member.Address) (drpc.Conn, error) {
 	conn, err := p.connect(ctx, address)
 	if err != nil {
@@ -93,14 +92,14 @@
 	return drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: maxMessageBytes}}
 }
 
-// PeerServer answers the calls of other processes.
+// PeerServer serves the calls of other processes.
 type PeerServer struct {
 	mux   *drpcmux.Mux
 	tasks *kernel.TaskGroup
 }
 
-// NewPeerServer returns a server on a listener; register what it answers with
-// the mux before anyone is told of the address.
+// NewPeerServer starts serving the services of mux on a listener. Register the services
+// before announcing the address.
 func NewPeerServer(listener net.Listener, mux *drpcmux.Mux, log zerolog.Logger) *PeerServer {
 	s := &PeerServer{mux: mux, tasks: kernel.NewTaskGroup()}
 	server := drpcserver.NewWithOptions(mux, drpcserver.Options{Manager: managerOptions()})
--- a/internal/daemon/peers_test.go
+++ b/internal/daemon/peers_test.go
@@ -14,14 +14,14 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// blackholeListener drops what comes in on the connections that are open when it is silenced.
+// blackholeListener drops the input of the connections that are open when dropInput is called.
 type blackholeListener struct {
 	net.Listener
 	mu   sync.Mutex
 	open []*blackholeConn
 }
 
-// Accept waits for a connection.
+// Accept accepts a connection and records it.
 func (l *blackholeListener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
@@ -48,7 +48,7 @@
 	dropping chan struct{}
 }
 
-// Read drops what it reads once the connection is silent.
+// Read drops the data that it reads once dropping is closed.
 func (c *blackholeConn) Read(into []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(into)
@@ -63,18 +63,18 @@
 	}
 }
 
-// emptyFleetServer answers one call of the service Fleet.
+// emptyFleetServer implements one call of the service Fleet.
 type emptyFleetServer struct {
 	wire.DRPCFleetUnimplementedServer
 }
 
-// Published answers with nothing.
+// Published returns an empty response.
 func (*emptyFleetServer) Published(context.Context, *wire.PublishedRequest) (*wire.ManifestResponse, error) {
 	return &wire.ManifestResponse{}, nil
 }
 
-// A stream that was opened again after it had fallen silent was put on a kept connection that
-// was silent as well, and so on for each of those.
+// Guards against a stream that hangs repeatedly: after a stream hung on a dead connection, it was
+// reopened on a pooled connection, which was dead as well, and so on for each pooled one.
 func TestDialedConnectionWorksWhilePooledOnesHang(t *testing.T) {
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -86,18 +86,18 @@
 	require.NoError(t, err)
 	listener.dropInput()
 
-	keptCtx, giveUp := context.WithCancel(t.Context())
-	kept := make(chan error)
+	pooledCtx, cancelPooled := context.WithCancel(t.Context())
+	pooled := make(chan error)
 	go func() {
-		_, err := wire.NewDRPCFleetClient(peers.Conn(address)).Published(keptCtx, &wire.PublishedRequest{})
-		kept <- err
+		_, err := wire.NewDRPCFleetClient(peers.Conn(address)).Published(pooledCtx, &wire.PublishedRequest{})
+		pooled <- err
 	}()
 	conn, err := peers.Dial(t.Context(), address)
 	require.NoError(t, err)
 	_, err = wire.NewDRPCFleetClient(conn).Published(t.Context(), &wire.PublishedRequest{})
 	require.NoError(t, err)
-	giveUp()
-	require.ErrorIs(t, <-kept, context.Canceled)
+	cancelPooled()
+	require.ErrorIs(t, <-pooled, context.Canceled)
 
 	ctx, cancel := context.WithCancel(t.Context())
 	conn, err = peers.Dial(ctx, address)
--- a/internal/daemon/planner.go
+++ b/internal/daemon/planner.go
@@ -20,40 +20,42 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// The planner's keys in the key-value service: the lease, and the head of the
-// newest plan, which every plan must win by compare-and-swap before it is used.
+// Keys of the planner in the key-value service: the lease, and the head of the newest plan.
+// A planner replaces the head by compare-and-swap before it publishes a plan.
 const (
 	plannerLeaseKey = "cinderslip/planner"
 	planHeadKey     = "cinderslip/plan"
 )
 
 const (
-	// plannerLeaseTTL is how long a planner that is gone holds up its successor. It
-	// outlasts several calls of a key-value service that takes 2 s for each.
+	// plannerLeaseTTL is the time after which the lease of a failed planner expires, so that another one
+	// can acquire it. It is longer than several calls to a slow key-value service that takes
+	// 2 seconds for each.
 	plannerLeaseTTL      = 10 * time.Second
 	plannerRenewInterval = 2 * time.Second
-	// plannerPollInterval is how often a relay that is not the planner looks.
+	// plannerPollInterval is the interval at which a relay without the lease checks whether the lease is free.
 	plannerPollInterval = time.Second
-	// minPlanInterval is the least time between two plans; maxPlanInterval is the most,
-	// for what changes with time alone. A large plan waits planPauseFactor times as long
-	// as it took to compute, which bounds the planner to 3% of a core.
+	// minPlanInterval is the minimum pause between two plans. After a large plan, the pause is
+	// planPauseFactor times the time to compute it, which limits the planner to 3% of a core.
+	// After the pause, the planner waits for a change, at most for maxPlanInterval, because
+	// some decisions depend on time alone.
 	minPlanInterval = 200 * time.Millisecond
 	planPauseFactor = 30
 	maxPlanInterval = time.Second
-	// startupHeartbeats is for how many heartbeats a planner that knows no plan waits
-	// to be told what the boxes hold.
+	// startupHeartbeats is the number of heartbeat intervals for which a planner without a previous
+	// plan waits, so that boxes can report which versions they hold.
 	startupHeartbeats = 2
-	// manifestRetryDelay is how long a version that was not found is not asked for.
+	// manifestRetryDelay is the time after a failed manifest lookup before the next attempt.
 	manifestRetryDelay = 2 * time.Second
 )
 
-// errSuperseded reports that another planner has taken over.
+// errSuperseded means that another planner holds the lease or has a newer epoch.
 var errSuperseded = errors.New("another planner has taken over")
 
-// Planner computes plans while it holds the lease. Its epoch is the key-value
-// service's revision at which it took the lease, so epochs only go up. A planner
-// that was paused beyond its lease loses the compare-and-swap of its next plan
-// to its successor, which swaps the head first of all.
+// Planner computes plans while it holds the lease. Its epoch is the revision of the key-value
+// service at which it acquired the lease, so epochs only increase. A new planner first writes
+// its epoch into the plan head. If the previous planner was paused beyond its lease,
+// the compare-and-swap of its next plan therefore fails.
 type Planner struct {
 	self    member.BoxID
 	kv      provider.KeyValue
@@ -66,9 +68,9 @@
 	isRelay func() bool
 	tasks   *kernel.TaskGroup
 	options plan.Options
-	// heartbeatInterval is the time between the heartbeats of a box.
+	// heartbeatInterval is the time between two heartbeats of a box.
 	heartbeatInterval time.Duration
-	// versionResolved wakes planning when a version was pinned.
+	// versionResolved triggers a new plan after the manifest of a version was pinned.
 	versionResolved chan struct{}
 
 	mu             sync.Mutex
@@ -76,7 +78,7 @@
 	lookupFailures map[table.Model]map[table.ModelVersion]time.Time
 }
 
-// NewPlanner starts to compete for the lease while isRelay holds.
+// NewPlanner starts a planner, which tries to acquire the lease while isRelay returns true.
 func NewPlanner(self member.BoxID, kv provider.KeyValue, sources []provider.WeightSource, view *View, replica *Replica,
 	clock clockwork.Clock, log zerolog.Logger, metrics *Metrics, isRelay func() bool, heartbeat time.Duration,
 ) *Planner {
@@ -97,7 +99,7 @@
 // String returns the service's name.
 func (p *Planner) String() string { return "planner" }
 
-// Stop gives the lease back.
+// Stop ends planning and releases the lease.
 func (p *Planner) Stop(ctx context.Context) error { return p.tasks.Stop(ctx) }
 
 func (p *Planner) campaign(ctx context.Context) {
@@ -118,28 +120,28 @@
 	}
 	t, err := p.acquire(ctx)
 	if err != nil {
-		p.log.Debug().Err(err).Msg("planner lease not taken")
+		p.log.Debug().Err(err).Msg("cannot acquire planner lease; retrying")
 		return
 	}
-	p.log.Info().Uint64("epoch", t.epoch).Msg("planner lease taken")
+	p.log.Info().Uint64("epoch", t.epoch).Msg("planner lease acquired")
 	p.metrics.isPlanner.Set(1)
 	defer p.metrics.isPlanner.Set(0)
 	err = p.runTerm(ctx, t)
-	p.log.Info().Uint64("epoch", t.epoch).Err(err).Msg("planner lease given up")
+	p.log.Info().Uint64("epoch", t.epoch).Err(err).Msg("planner term ended; releasing the lease")
 	p.release(t)
 }
 
-// isLeaseFree reports whether nobody holds the lease.
+// isLeaseFree reports whether no planner holds the lease. It returns false if the lookup fails.
 func (p *Planner) isLeaseFree(ctx context.Context) bool {
 	callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
 	p.metrics.keyValueCalls.WithLabelValues("get").Inc()
-	held, err := p.kv.Get(callCtx, plannerLeaseKey)
-	return err == nil && held.Revision == 0
+	entry, err := p.kv.Get(callCtx, plannerLeaseKey)
+	return err == nil && entry.Revision == 0
 }
 
-// runTerm plans until the lease or a swap is lost. With the key-value service down
-// the lease lapses and the last plan stays in force.
+// runTerm computes plans until the lease is lost or a compare-and-swap fails. While the key-value
+// service is down, the lease expires and the last plan stays in force.
 func (p *Planner) runTerm(ctx context.Context, t *leaseTerm) error {
 	if p.view.PlanHead().Epoch == 0 {
 		select {
@@ -183,7 +185,7 @@
 	rows, revision := p.view.Rows()
 	previous, _ := p.view.Plan()
 	members := p.view.Members()
-	p.pinHeld(members)
+	p.pinFromRecords(members)
 	started := p.clock.Now()
 	next := plan.Next(plan.Input{
 		Rows: rows, Boxes: members, Manifests: p.pins(), Previous: previous, Now: started, Options: p.options,
@@ -194,8 +196,8 @@
 	if err != nil {
 		return err
 	}
-	// A plan without changes is still published for a new table, so that its
-	// head tells that the edit is in force.
+	// A plan without changes is still published for a new table revision, so that
+	// the plan head shows that the edit is in force.
 	if before := p.view.PlanHead(); len(items) == 0 && before.Epoch == t.epoch && before.Table == revision {
 		return nil
 	}
@@ -214,8 +216,7 @@
 	return nil
 }
 
-// awaitView waits until the view holds the plan just published, which the next
-// one builds on.
+// awaitView waits until the view contains the published plan, because the next plan is based on it.
 func (p *Planner) awaitView(ctx context.Context, version state.Version) {
 	for {
 		changed := p.view.Changed()
@@ -231,7 +232,8 @@
 	}
 }
 
-// planItems returns an item for each box and row whose decision changed.
+// planItems returns an item for each box and row that differs between two plans,
+// with a deletion for those that the next plan lacks.
 func planItems(previous, next plan.Plan, version state.Version) ([]state.Item, error) {
 	var items []state.Item
 	add := func(key string, value any) error {
--- a/internal/daemon/planner_test.go
+++ b/internal/daemon/planner_test.go
@@ -33,7 +33,7 @@
 	next := newTestPlanner(t, p, n, "next", never)
 	old, err := paused.acquire(t.Context())
 	require.NoError(t, err)
-	// The pause: its lease lapses unseen, and another planner takes over.
+	// The paused planner does not notice that its lease expires, and another planner acquires it.
 	old.stopRenewal()
 	require.NoError(t, p.kvClient.Revoke(t.Context(), old.lease))
 	current, err := next.acquire(t.Context())
@@ -43,7 +43,7 @@
 	before := n.store.Since(state.Cursor{}, 0).Next
 	require.ErrorIs(t, paused.planOnce(t.Context(), old), errSuperseded)
 	for _, item := range n.store.Since(before, 0).Items {
-		require.NotEqual(t, old.epoch, item.Version.Major, "%s was written by the deposed planner", item.Key)
+		require.NotEqual(t, old.epoch, item.Version.Major, "%s was written by the superseded planner", item.Key)
 	}
 	require.NoError(t, next.planOnce(t.Context(), current))
 	require.Equal(t, current.epoch, n.view.PlanHead().Epoch)
@@ -53,11 +53,11 @@
 	p, n, _ := newConfiguredPlatform(t)
 	first := newTestPlanner(t, p, n, "first", never)
 	second := newTestPlanner(t, p, n, "second", never)
-	held, err := first.acquire(t.Context())
+	term, err := first.acquire(t.Context())
 	require.NoError(t, err)
 	_, err = second.acquire(t.Context())
 	require.ErrorIs(t, err, errSuperseded)
-	first.release(held)
+	first.release(term)
 	_, err = second.acquire(t.Context())
 	require.NoError(t, err)
 }
@@ -65,15 +65,15 @@
 func TestPlanSwapWithLostResponsePublishesNothing(t *testing.T) {
 	p, n, _ := newConfiguredPlatform(t)
 	planner := newTestPlanner(t, p, n, "planner", never)
-	tenure, err := planner.acquire(t.Context())
+	term, err := planner.acquire(t.Context())
 	require.NoError(t, err)
 	p.kvServer.SetFault(func(string) standin.Fault { return standin.Fault{DropResponse: true} })
-	require.Error(t, planner.planOnce(t.Context(), tenure))
+	require.Error(t, planner.planOnce(t.Context(), term))
 	require.Zero(t, n.view.PlanHead().Epoch)
 	p.kvServer.SetFault(nil)
-	planner.release(tenure)
+	planner.release(term)
 	next, err := planner.acquire(t.Context())
-	require.NoError(t, err, "the next tenure builds on whatever was written")
+	require.NoError(t, err, "the next term continues from the stored head")
 	require.NoError(t, planner.planOnce(t.Context(), next))
 	require.Equal(t, next.epoch, n.view.PlanHead().Epoch)
 }
@@ -82,7 +82,7 @@
 	p, n, _ := newConfiguredPlatform(t)
 	newTestPlanner(t, p, n, "planner", always)
 	row := table.Key{Group: "kumiai", Model: "kakiwake"}
-	eventually(t, func() bool { decided, ok := n.view.RowPlan(row); return ok && decided.Target == "v1" }, "a plan comes")
+	eventually(t, func() bool { rowPlan, ok := n.view.RowPlan(row); return ok && rowPlan.Target == "v1" }, "a plan is published")
 	before := n.view.PlanHead()
 	p.kvServer.SetFault(func(string) standin.Fault { return standin.Fault{Status: http.StatusServiceUnavailable} })
 	time.Sleep(2 * plannerRenewInterval)
@@ -96,13 +96,13 @@
 	planner := &Planner{clock: clock, metrics: NewMetrics(), kv: provider.KeyValue{
 		KeepAlive: func(context.Context, provider.LeaseID) error { return provider.ErrUnavailable },
 	}}
-	ended := make(chan error, 1)
-	go func() { ended <- planner.renew(t.Context(), 1, clock.Now()) }()
+	done := make(chan error, 1)
+	go func() { done <- planner.renew(t.Context(), 1, clock.Now()) }()
 	for {
 		require.NoError(t, clock.BlockUntilContext(t.Context(), 1))
 		clock.Advance(plannerRenewInterval)
 		select {
-		case err := <-ended:
+		case err := <-done:
 			require.ErrorIs(t, err, provider.ErrLeaseLost)
 			return
 		case <-time.After(20 * time.Millisecond):
@@ -122,9 +122,9 @@
 	}
 	items, err := planItems(before, after, state.Version{Major: 3, Minor: 1})
 	require.NoError(t, err)
-	got := make(map[string]bool)
+	deletedByKey := make(map[string]bool)
 	for _, item := range items {
-		got[item.Key] = item.Deleted
+		deletedByKey[item.Key] = item.Deleted
 	}
-	require.Equal(t, map[string]bool{"plan/box/b": false, "plan/box/new": false, "plan/box/gone": true}, got)
+	require.Equal(t, map[string]bool{"plan/box/b": false, "plan/box/new": false, "plan/box/gone": true}, deletedByKey)
 }
--- a/internal/daemon/replica.go
+++ b/internal/daemon/replica.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	// maxPullItems bounds the items of one answer.
+	// maxPullItems is the maximum number of items in one response.
 	maxPullItems = 4096
-	// maxPullWait is how long a pull may wait for something new.
+	// maxPullWait is the maximum time that a pull waits for a change.
 	maxPullWait = 10 * time.Second
-	// pullBatchDelay gathers changes that come close together into one answer.
+	// pullBatchDelay is the delay after a change, to batch it with further changes in one response.
 	pullBatchDelay = 20 * time.Millisecond
-	// pullRetryDelay is the wait after a failed pull.
+	// pullRetryDelay is the delay after a failed pull or push.
 	pullRetryDelay = 200 * time.Millisecond
 	// pushTimeout bounds one push.
 	pushTimeout = 2 * time.Second
-	// repairInterval is how often this process compares digests with a source.
+	// repairInterval is the minimum time between two digest comparisons with a source.
 	repairInterval = 10 * time.Second
 )
 
-// Replica keeps this entry box's copy of the replicated items in step with the
-// others, along the links of the overlay: it reads from its sources by long polls
-// and hands its own changes up. Now and then it compares digests with a source,
-// which repairs whatever was lost on the way.
+// Replica synchronizes this entry box's copy of the replicated items with other entry boxes over
+// the links of the overlay. It pulls from its sources by long polling and pushes its own
+// changes to a relay. Periodically it compares digests with a source and
+// reads the items that differ, to repair lost updates.
 type Replica struct {
 	store *state.Store
 	peers *PeerPool
@@ -51,8 +51,7 @@
 	lastRepair time.Time
 }
 
-// NewReplica starts to pull and push. The function links may change its answer
-// at any time.
+// NewReplica starts pulling and pushing. The result of links may change at any time.
 func NewReplica(store *state.Store, peers *PeerPool, clock clockwork.Clock, log zerolog.Logger, links func() Links) *Replica {
 	r := &Replica{
 		store: store, peers: peers, clock: clock, log: log, links: links,
@@ -72,8 +71,8 @@
 // Stop ends pulling and pushing.
 func (r *Replica) Stop(ctx context.Context) error { return r.tasks.Stop(ctx) }
 
-// Publish merges items that this process wrote or was told first, and hands them
-// up.
+// Publish merges items that this process wrote or received directly from another box,
+// and schedules a push of those that are new.
 func (r *Replica) Publish(items ...state.Item) {
 	fresh := r.store.Apply(items, state.OriginLocal)
 	if len(fresh) == 0 {
@@ -90,7 +89,7 @@
 	}
 }
 
-// followSources keeps one puller for each source of the overlay.
+// followSources runs one puller for each source of the overlay.
 func (r *Replica) followSources(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.adjustPullers()
@@ -103,19 +102,19 @@
 
 func (r *Replica) adjustPullers() {
 	links := r.links()
-	wanted := make(map[string][]member.Address, len(links.PullSources))
+	sources := make(map[string][]member.Address, len(links.PullSources))
 	for _, source := range links.PullSources {
-		wanted[sourceKey(source, links.LocalOnly)] = source
+		sources[sourceKey(source, links.LocalOnly)] = source
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for key, cancel := range r.pullers {
-		if wanted[key] == nil {
+		if sources[key] == nil {
 			cancel()
 			delete(r.pullers, key)
 		}
 	}
-	for key, source := range wanted {
+	for key, source := range sources {
 		if _, running := r.pullers[key]; running {
 			continue
 		}
@@ -136,11 +135,11 @@
 	return key.String()
 }
 
-// pullSource reads from the first address of a source that answers.
+// pullSource pulls from one address of a source and switches to the next address on failure.
 func (r *Replica) pullSource(ctx context.Context, source []member.Address, localOnly bool) {
-	for at := 0; ctx.Err() == nil; at = (at + 1) % len(source) {
-		err := r.pullAddress(ctx, source[at], localOnly)
-		r.log.Debug().Str("source", string(source[at])).Err(err).Msg("pull failed")
+	for i := 0; ctx.Err() == nil; i = (i + 1) % len(source) {
+		err := r.pullAddress(ctx, source[i], localOnly)
+		r.log.Debug().Str("source", string(source[i])).Err(err).Msg("pull failed; trying the next address of the source")
 		select {
 		case <-ctx.Done():
 		case <-r.clock.After(pullRetryDelay):
@@ -148,20 +147,19 @@
 	}
 }
 
-// pullAddress returns when the address no longer answers. It reads what is new
-// from here on and has the rest repaired, so that changing the source costs only
-// what differs.
+// pullAddress pulls from an address until a call fails. It pulls only changes from now on and
+// repairs earlier differences by digests, so a change of source transfers only the items that differ.
 func (r *Replica) pullAddress(ctx context.Context, address member.Address, localOnly bool) error {
 	request := &wire.PullRequest{WaitMilliseconds: maxPullWait.Milliseconds(), LocalOnly: localOnly, FromTail: true}
 	r.mu.Lock()
 	r.lastRepair = time.Time{}
 	r.mu.Unlock()
 	for {
-		answer, err := r.pull(ctx, address, request)
+		response, err := r.pull(ctx, address, request)
 		if err != nil {
 			return err
 		}
-		request.Instance, request.Cursor, request.FromTail = answer.Instance, answer.Cursor, false
+		request.Instance, request.Cursor, request.FromTail = response.Instance, response.Cursor, false
 		if err := r.repairIfDue(ctx, address); err != nil {
 			return err
 		}
@@ -171,15 +169,16 @@
 func (r *Replica) pull(ctx context.Context, address member.Address, request *wire.PullRequest) (*wire.PullResponse, error) {
 	callCtx, cancel := context.WithTimeout(ctx, maxPullWait+pushTimeout)
 	defer cancel()
-	answer, err := wire.NewDRPCReplicaClient(r.peers.Conn(address)).Pull(callCtx, request)
+	response, err := wire.NewDRPCReplicaClient(r.peers.Conn(address)).Pull(callCtx, request)
 	if err != nil {
 		return nil, err
 	}
-	r.store.Apply(itemsFromWire(answer.Items), state.OriginRemote)
-	return answer, nil
+	r.store.Apply(itemsFromWire(response.Items), state.OriginRemote)
+	return response, nil
 }
 
-// repairIfDue compares digests with a source, unless that was done lately.
+// repairIfDue compares digests with a source and reads the items that differ, unless
+// the last comparison is more recent than repairInterval.
 func (r *Replica) repairIfDue(ctx context.Context, address member.Address) error {
 	now := r.clock.Now()
 	r.mu.Lock()
@@ -204,20 +203,21 @@
 	return nil
 }
 
-// repair reads one part of what differs and returns how much of it was new.
+// repair reads one batch of differing items and returns the number of new ones.
+// It sets more to whether further items differ.
 func (r *Replica) repair(ctx context.Context, address member.Address, more *bool) (int, error) {
 	callCtx, cancel := context.WithTimeout(ctx, maxPullWait)
 	defer cancel()
 	request := &wire.RepairRequest{Digests: packDigests(r.store.Digests())}
-	answer, err := wire.NewDRPCReplicaClient(r.peers.Conn(address)).Repair(callCtx, request)
+	response, err := wire.NewDRPCReplicaClient(r.peers.Conn(address)).Repair(callCtx, request)
 	if err != nil {
 		return 0, err
 	}
-	*more = answer.More
-	return len(r.store.Apply(itemsFromWire(answer.Items), state.OriginRemote)), nil
+	*more = response.More
+	return len(r.store.Apply(itemsFromWire(response.Items), state.OriginRemote)), nil
 }
 
-// pushPending hands on what this process published until some relay has it.
+// pushPending pushes published items and retries until a relay has received them.
 func (r *Replica) pushPending(ctx context.Context) {
 	for {
 		select {
@@ -234,15 +234,15 @@
 	}
 }
 
-// pushAll reports whether everything that was pending has reached a relay. A
-// process that has nobody above it is a relay itself: the others read from it.
+// pushAll pushes the pending items and reports whether a relay received them. A process without
+// push targets is a relay itself and has nothing to push: other boxes pull from it.
 func (r *Replica) pushAll(ctx context.Context) bool {
 	r.mu.Lock()
 	keys := r.pending
 	r.pending = make(map[string]bool)
 	r.mu.Unlock()
-	up := r.links().PushTargets
-	if len(keys) == 0 || len(up) == 0 {
+	relays := r.links().PushTargets
+	if len(keys) == 0 || len(relays) == 0 {
 		return true
 	}
 	items := make([]state.Item, 0, len(keys))
@@ -251,7 +251,7 @@
 			items = append(items, item)
 		}
 	}
-	for _, relay := range up {
+	for _, relay := range relays {
 		callCtx, cancel := context.WithTimeout(ctx, pushTimeout)
 		_, err := wire.NewDRPCReplicaClient(r.peers.Conn(relay)).Push(callCtx, &wire.PushRequest{Items: itemsToWire(items)})
 		cancel()
@@ -267,7 +267,7 @@
 	return false
 }
 
-// Pull answers another entry box.
+// Pull handles a pull of another entry box. It waits until an item changes or the wait time of the request ends.
 func (r *Replica) Pull(ctx context.Context, request *wire.PullRequest) (*wire.PullResponse, error) {
 	cursor := state.Cursor{Instance: request.Instance, Sequence: request.Cursor}
 	if request.FromTail {
@@ -284,15 +284,15 @@
 		changed := r.store.Changed()
 		batch := read(cursor, maxPullItems)
 		cursor = batch.Next
-		answer := &wire.PullResponse{Instance: cursor.Instance, Cursor: cursor.Sequence, Items: itemsToWire(batch.Items)}
+		response := &wire.PullResponse{Instance: cursor.Instance, Cursor: cursor.Sequence, Items: itemsToWire(batch.Items)}
 		if len(batch.Items) > 0 {
-			return answer, nil
+			return response, nil
 		}
 		select {
 		case <-changed:
 			r.clock.Sleep(pullBatchDelay)
 		case <-deadline:
-			return answer, nil
+			return response, nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-r.tasks.Context().Done():
@@ -301,15 +301,15 @@
 	}
 }
 
-// Push takes another entry box's changes. A box that is no relay, though the
-// sender took it for one, hands them on.
+// Push handles a push of another entry box. If this box is not a relay, because the
+// sender's overlay is outdated, it pushes the changes to a relay.
 func (r *Replica) Push(_ context.Context, request *wire.PushRequest) (*wire.PushResponse, error) {
 	r.Publish(itemsFromWire(request.Items)...)
 	return &wire.PushResponse{}, nil
 }
 
-// Repair answers another entry box with the items of the buckets in which it
-// holds something else.
+// Repair handles a digest comparison of another entry box. It returns the items of the buckets with
+// different digests.
 func (r *Replica) Repair(_ context.Context, request *wire.RepairRequest) (*wire.RepairResponse, error) {
 	digests, err := unpackDigests(request.Digests)
 	if err != nil {
--- a/internal/daemon/replica_test.go
+++ b/internal/daemon/replica_test.go
@@ -15,7 +15,7 @@
 	"github.com/cinderslip/cinderslip/pkg/state"
 )
 
-// listen makes a node answer other processes.
+// listen serves the node's replica to other processes.
 func (n *testNode) listen(t *testing.T) {
 	t.Helper()
 	mux := drpcmux.New()
@@ -23,8 +23,8 @@
 	n.address = listenPeers(t, mux)
 }
 
-// linksBelow are the links of an entry box with one relay above it.
-func linksBelow(relay *testNode) func() Links {
+// linksToRelay returns the links of an entry box that pulls from and pushes to one relay.
+func linksToRelay(relay *testNode) func() Links {
 	return func() Links {
 		return Links{PullSources: [][]member.Address{{relay.address}}, PushTargets: []member.Address{relay.address}}
 	}
@@ -37,7 +37,7 @@
 func TestChangesReachEveryEntryBoxThroughARelay(t *testing.T) {
 	relay := newTestNode(t, 1, noLinks)
 	relay.listen(t)
-	toRelay := linksBelow(relay)
+	toRelay := linksToRelay(relay)
 	first, second := newTestNode(t, 2, toRelay), newTestNode(t, 3, toRelay)
 	first.replica.Publish(newItem("a", 1))
 	eventually(t, func() bool { _, ok := second.store.Get("a"); return ok }, "the change arrives")
@@ -51,19 +51,19 @@
 	relay := newTestNode(t, 2, noLinks)
 	relay.listen(t)
 	address.Store(relay.address)
-	eventually(t, func() bool { _, ok := relay.store.Get("a"); return ok }, "the change is not lost")
+	eventually(t, func() bool { _, ok := relay.store.Get("a"); return ok }, "the change reaches the relay")
 }
 
 func TestReturningPeerWithOldStateRevertsNothing(t *testing.T) {
 	old := newTestNode(t, 1, noLinks)
 	old.store.Apply([]state.Item{newItem("row", 1), newItem("only-old", 1)}, state.OriginLocal)
 	old.listen(t)
-	n := newTestNode(t, 2, linksBelow(old))
+	n := newTestNode(t, 2, linksToRelay(old))
 	n.replica.Publish(newItem("row", 2))
-	eventually(t, func() bool { _, ok := n.store.Get("only-old"); return ok }, "the old peer is heard")
-	held, _ := n.store.Get("row")
-	require.Equal(t, uint64(2), held.Version.Major)
-	eventually(t, func() bool { held, _ := old.store.Get("row"); return held.Version.Major == 2 }, "the old peer is brought up to date")
+	eventually(t, func() bool { _, ok := n.store.Get("only-old"); return ok }, "items of the old peer arrive")
+	item, _ := n.store.Get("row")
+	require.Equal(t, uint64(2), item.Version.Major)
+	eventually(t, func() bool { item, _ := old.store.Get("row"); return item.Version.Major == 2 }, "the old peer receives the newer item")
 }
 
 func TestLargeStateArrivesInParts(t *testing.T) {
@@ -74,8 +74,8 @@
 	}
 	relay.store.Apply(items, state.OriginLocal)
 	relay.listen(t)
-	n := newTestNode(t, 2, linksBelow(relay))
-	eventually(t, func() bool { return n.store.Len() == relay.store.Len() }, "everything arrives")
+	n := newTestNode(t, 2, linksToRelay(relay))
+	eventually(t, func() bool { return n.store.Len() == relay.store.Len() }, "all items arrive")
 }
 
 func TestSourceChangeRepairsOnlyDifferences(t *testing.T) {
@@ -91,10 +91,10 @@
 	second.store.Apply([]state.Item{newItem("missed", 1)}, state.OriginLocal)
 	var source atomic.Value
 	source.Store(first)
-	n := newTestNode(t, 3, func() Links { return linksBelow(source.Load().(*testNode))() })
-	eventually(t, func() bool { return n.store.Len() == len(common) }, "the first source is read")
+	n := newTestNode(t, 3, func() Links { return linksToRelay(source.Load().(*testNode))() })
+	eventually(t, func() bool { return n.store.Len() == len(common) }, "the items of the first source arrive")
 	source.Store(second)
-	eventually(t, func() bool { _, ok := n.store.Get("missed"); return ok }, "what it missed is repaired")
+	eventually(t, func() bool { _, ok := n.store.Get("missed"); return ok }, "the missing item is repaired")
 	differing, _ := second.store.Differing(first.store.Digests(), maxPullItems)
 	require.Less(t, len(differing), 100, "one bucket differs, not all")
 }
@@ -104,11 +104,11 @@
 	relay.listen(t)
 	n := newTestNode(t, 2, func() Links { return Links{PullSources: [][]member.Address{{"127.0.0.1:1", relay.address}}} })
 	relay.replica.Publish(newItem("a", 1))
-	eventually(t, func() bool { _, ok := n.store.Get("a"); return ok }, "the second address is read")
+	eventually(t, func() bool { _, ok := n.store.Get("a"); return ok }, "the item arrives from the second address")
 }
 
-// A relay hands other relays only what came up to it, so that an item crosses
-// between two relays once.
+// A relay serves other relays only the items that were published at it or pushed to it.
+// Otherwise an item would pass between two relays more than once.
 func TestRelaysDoNotForwardItemsFromOtherRelays(t *testing.T) {
 	one := newTestNode(t, 1, noLinks)
 	one.listen(t)
@@ -117,13 +117,13 @@
 	})
 	two.listen(t)
 	one.replica.Publish(newItem("a", 1))
-	eventually(t, func() bool { _, ok := two.store.Get("a"); return ok }, "it crosses")
+	eventually(t, func() bool { _, ok := two.store.Get("a"); return ok }, "the item reaches the other relay")
 	require.Empty(t, two.store.SinceLocal(state.Cursor{}, 0).Items)
 	two.replica.Publish(newItem("b", 1))
 	require.Len(t, two.store.SinceLocal(state.Cursor{}, 0).Items, 1)
 }
 
-// newTestHeartbeater starts a heart that beats to a node's monitor.
+// newTestHeartbeater starts a heartbeater that sends heartbeats to the given monitors.
 func newTestHeartbeater(t *testing.T, clock clockwork.Clock, record member.Record, monitors func() []member.Address) *Heartbeater {
 	t.Helper()
 	h := NewHeartbeater(record, HeartbeaterOptions{
@@ -134,7 +134,7 @@
 	return h
 }
 
-// newMonitoredNode is a node with a monitor that others can reach.
+// newMonitoredNode returns a node with a monitor that serves other processes.
 func newMonitoredNode(t *testing.T, instance uint64, silence time.Duration) *testNode {
 	t.Helper()
 	n := newTestNode(t, instance, noLinks)
@@ -156,13 +156,13 @@
 
 func TestBoxWithoutHeartbeatsIsMarkedSilentUntilRestart(t *testing.T) {
 	n := newMonitoredNode(t, 1, 100*time.Millisecond)
-	to := func() []member.Address { return []member.Address{n.address} }
-	h := newTestHeartbeater(t, clockwork.NewRealClock(), agentRecord("b"), to)
+	monitors := func() []member.Address { return []member.Address{n.address} }
+	h := newTestHeartbeater(t, clockwork.NewRealClock(), agentRecord("b"), monitors)
 	eventually(t, hasStatus(n, member.StatusUp), "the box is known")
 	stopService(t, h)
-	eventually(t, hasStatus(n, member.StatusSilent), "the box is marked")
-	newTestHeartbeater(t, clockwork.NewRealClock(), agentRecord("b"), to)
-	eventually(t, hasStatus(n, member.StatusUp), "its next start is up")
+	eventually(t, hasStatus(n, member.StatusSilent), "the box is marked silent")
+	newTestHeartbeater(t, clockwork.NewRealClock(), agentRecord("b"), monitors)
+	eventually(t, hasStatus(n, member.StatusUp), "the restarted box is up")
 }
 
 func TestWrongSilentMarkIsRefuted(t *testing.T) {
@@ -182,15 +182,15 @@
 
 func TestBoxWithClockSetBackGetsHigherIncarnation(t *testing.T) {
 	n := newMonitoredNode(t, 1, time.Hour)
-	to := func() []member.Address { return []member.Address{n.address} }
-	ahead := newTestHeartbeater(t, clockwork.NewRealClock(), agentRecord("b"), to)
+	monitors := func() []member.Address { return []member.Address{n.address} }
+	ahead := newTestHeartbeater(t, clockwork.NewRealClock(), agentRecord("b"), monitors)
 	eventually(t, hasStatus(n, member.StatusUp), "the box is known")
 	earlier := ahead.Record().Incarnation
 	stopService(t, ahead)
 	back := clockwork.NewFakeClockAt(time.Now().Add(-24 * time.Hour))
-	restarted := newTestHeartbeater(t, back, agentRecord("b"), to)
+	restarted := newTestHeartbeater(t, back, agentRecord("b"), monitors)
 	eventually(t, func() bool {
 		record, _ := n.view.Member("b")
 		return record.Incarnation > earlier && record.Incarnation == restarted.Record().Incarnation
-	}, "its new incarnation is above the old one")
+	}, "the new incarnation is higher than the old one")
 }
--- a/internal/daemon/steps.go
+++ b/internal/daemon/steps.go
@@ -18,8 +18,8 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// steps start a process, each service after those that it builds on. Services
-// stop in the reverse order, so what serves callers comes last.
+// steps lists the startup steps. Each service starts after those that it depends on. Services
+// stop in reverse order, so the services for callers start last and stop first.
 var steps = []Step{
 	listenStep{},
 	peersStep{},
@@ -34,25 +34,25 @@
 	backendProxyStep{},
 }
 
-// everyRole is embedded by steps that every role needs.
+// everyRole is embedded in steps that every role needs.
 type everyRole struct{}
 
-// Skip is false.
+// Skip returns false.
 func (everyRole) Skip(*Process) bool { return false }
 
-// entryOnly is embedded by steps of the entry role.
+// entryOnly is embedded in steps of the entry role.
 type entryOnly struct{}
 
-// Skip is true on an agent.
+// Skip returns true on an agent.
 func (entryOnly) Skip(p *Process) bool { return p.settings.Role != settings.RoleEntry }
 
-// agentOnly is embedded by steps of the agent role.
+// agentOnly is embedded in steps of the agent role.
 type agentOnly struct{}
 
-// Skip is true on an entry box.
+// Skip returns true on an entry box.
 func (agentOnly) Skip(p *Process) bool { return p.settings.Role != settings.RoleAgent }
 
-// listenStep opens the listeners before anything tells their addresses.
+// listenStep opens the listeners before any step announces their addresses.
 type listenStep struct{ everyRole }
 
 func (listenStep) String() string { return "listeners" }
@@ -68,15 +68,15 @@
 		return fmt.Errorf("listening for operators: %w", err)
 	}
 	if p.settings.Role == settings.RoleEntry {
-		// Callers are turned away until the process is ready.
+		// The socket refuses callers until the process is ready.
 		if p.callerSocket, err = bindSocket(p.settings.Listen.Callers); err != nil {
-			return fmt.Errorf("reserving the callers' address: %w", err)
+			return fmt.Errorf("reserving caller address: %w", err)
 		}
 	}
 	return nil
 }
 
-// peersStep makes the connections to other processes.
+// peersStep creates the pool of connections to other processes.
 type peersStep struct{ everyRole }
 
 func (peersStep) String() string { return "peers" }
@@ -86,7 +86,7 @@
 	return p.services.Register(p.peers)
 }
 
-// entryStateStep makes the replicated state and what keeps it in step.
+// entryStateStep creates the replicated state and the services that synchronize and decode it.
 type entryStateStep struct{ entryOnly }
 
 func (entryStateStep) String() string { return "replicated state" }
@@ -105,7 +105,7 @@
 	return p.services.Register(replica)
 }
 
-// viewAndReplica finds the two services that hold an entry box's replicated state.
+// viewAndReplica returns the two services for an entry box's replicated state.
 func (p *Process) viewAndReplica() (*View, *Replica, error) {
 	view, err := kernel.Find[*View](p.services, "view")
 	if err != nil {
@@ -115,15 +115,15 @@
 	return view, replica, err
 }
 
-// seeds are the entry boxes to begin with: those of the settings, and those that
+// seeds returns the entry boxes to contact first: those of the settings and those that
 // the platform lists.
 func (p *Process) seeds() []member.Address {
 	seeds := p.configuredEntries()
-	lister, err := kernel.Find[*BoxListPoller](p.services, "lister")
+	poller, err := kernel.Find[*BoxListPoller](p.services, "lister")
 	if err != nil {
 		return seeds
 	}
-	for _, entry := range lister.Entries() {
+	for _, entry := range poller.Entries() {
 		if string(entry) != p.PeersAddress() && !slices.Contains(seeds, entry) {
 			seeds = append(seeds, entry)
 		}
@@ -146,8 +146,8 @@
 		Peers: p.peers, Clock: p.options.Clock, Log: p.options.Log,
 		Interval: time.Duration(p.settings.Peers.Heartbeat),
 		Monitors: func() []member.Address {
-			if near := rankedMonitors(record.Box, view.Entries(record.Region)); len(near) > 0 {
-				return near
+			if local := rankedMonitors(record.Box, view.Entries(record.Region)); len(local) > 0 {
+				return local
 			}
 			return p.seeds()
 		},
@@ -156,7 +156,7 @@
 		OnChange: func(record member.Record) {
 			item, err := record.Item()
 			if err != nil {
-				p.options.Log.Error().Err(err).Msg("own record cannot be published")
+				p.options.Log.Error().Err(err).Msg("cannot encode own record; not published")
 				return
 			}
 			replica.Publish(item)
@@ -165,8 +165,7 @@
 	return p.services.Register(p.heartbeater)
 }
 
-// entryServicesStep starts the monitor, the configuration, the lister and the
-// planner.
+// entryServicesStep starts the monitor, the table store, the box list poller and the planner.
 type entryServicesStep struct{ entryOnly }
 
 func (entryServicesStep) String() string { return "entry duties" }
@@ -202,26 +201,26 @@
 
 func (agentHeartbeatStep) String() string { return "agent heart" }
 
-// knownEntries remembers the entry boxes that monitors named last.
+// knownEntries holds the entry boxes that a monitor announced most recently.
 type knownEntries struct {
 	mu      sync.Mutex
 	entries []member.Address
 }
 
-func (t *knownEntries) set(entries []string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.entries = t.entries[:0:0]
+func (k *knownEntries) set(entries []string) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.entries = k.entries[:0:0]
 	for _, entry := range entries {
-		t.entries = append(t.entries, member.Address(entry))
+		k.entries = append(k.entries, member.Address(entry))
 	}
 }
 
-// withSeeds returns the entries told, then those of the settings.
-func (t *knownEntries) withSeeds(seeds []member.Address) []member.Address {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	all := slices.Clone(t.entries)
+// withSeeds returns the announced entry boxes, followed by the seeds that are not among them.
+func (k *knownEntries) withSeeds(seeds []member.Address) []member.Address {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	all := slices.Clone(k.entries)
 	for _, seed := range seeds {
 		if !slices.Contains(all, seed) {
 			all = append(all, seed)
@@ -241,33 +240,33 @@
 	for _, service := range p.settings.Agent.Services {
 		record.Services = append(record.Services, member.Service(service.Name))
 	}
-	told := &knownEntries{}
+	known := &knownEntries{}
 	p.heartbeater = NewHeartbeater(record, HeartbeaterOptions{
 		Peers: p.peers, Clock: p.options.Clock, Log: p.options.Log,
 		Interval: time.Duration(p.settings.Peers.Heartbeat),
-		Monitors: func() []member.Address { return told.withSeeds(p.configuredEntries()) },
+		Monitors: func() []member.Address { return known.withSeeds(p.configuredEntries()) },
 		FillRequest: func(request *wire.HeartbeatRequest) {
-			if copier, err := kernel.Find[*Loader](p.services, "copier"); err == nil {
-				copier.FillHeartbeat(request)
+			if loader, err := kernel.Find[*Loader](p.services, "copier"); err == nil {
+				loader.FillHeartbeat(request)
 			}
 		},
-		OnResponse: func(_ member.Address, answer *wire.HeartbeatResponse) {
-			if len(answer.Entries) > 0 {
-				told.set(answer.Entries)
+		OnResponse: func(_ member.Address, response *wire.HeartbeatResponse) {
+			if len(response.Entries) > 0 {
+				known.set(response.Entries)
 			}
-			if copier, err := kernel.Find[*Loader](p.services, "copier"); err == nil {
-				copier.HandleResponse(answer)
+			if loader, err := kernel.Find[*Loader](p.services, "copier"); err == nil {
+				loader.HandleResponse(response)
 			}
 		},
 	})
 	return p.services.Register(p.heartbeater)
 }
 
-// soonestLiveDivisor shortens the wait of second drawers where being live soon goes
-// before bytes from the origin.
+// soonestLiveDivisor divides the delay of the second origin fetcher if the settings prefer an early
+// live version to fewer bytes from the origin.
 const soonestLiveDivisor = 2
 
-// agentWeightsStep starts the gate, the copier and the chunk server.
+// agentWeightsStep creates the backend proxy, and starts the loader and the chunk server.
 type agentWeightsStep struct{ agentOnly }
 
 func (agentWeightsStep) String() string { return "agent weights" }
@@ -291,15 +290,15 @@
 	if p.settings.Weights.Prefer == settings.PreferSoonestLive {
 		picker.RankDelay /= soonestLiveDivisor
 	}
-	copier := NewLoader(LoaderOptions{
+	loader := NewLoader(LoaderOptions{
 		Self: member.BoxID(p.settings.Box), Peers: p.peers, Store: store, Sources: p.sources(),
 		Engine: provider.NewEngine(engine, p.client), Proxy: p.backendProxy, Heartbeater: p.heartbeater,
 		Clock: p.options.Clock, Log: p.options.Log, Metrics: p.metrics, Picker: picker,
 	})
-	return p.services.Register(copier)
+	return p.services.Register(loader)
 }
 
-// operatorServerStep answers operators.
+// operatorServerStep starts the server for operators.
 type operatorServerStep struct{ everyRole }
 
 func (operatorServerStep) String() string { return "operators" }
@@ -333,7 +332,7 @@
 	return p.services.Register(operators)
 }
 
-// peerServerStep begins to answer other processes.
+// peerServerStep starts the server for other processes.
 type peerServerStep struct{ everyRole }
 
 func (peerServerStep) String() string { return "peer server" }
@@ -345,16 +344,16 @@
 	return p.services.Register(NewPeerServer(p.peerListener, p.mux, p.options.Log))
 }
 
-// probeServer tells that the process runs.
+// probeServer handles probes of monitors.
 type probeServer struct{ heartbeater *Heartbeater }
 
-// Alive answers a monitor that has not heard from this box.
+// Alive handles the probe of a monitor that misses heartbeats of this box. It returns the current incarnation.
 func (p probeServer) Alive(context.Context, *wire.AliveRequest) (*wire.AliveResponse, error) {
 	record := p.heartbeater.Record()
 	return &wire.AliveResponse{Box: string(record.Box), Incarnation: uint64(record.Incarnation)}, nil
 }
 
-// callerServerStep begins to answer callers.
+// callerServerStep starts the server for callers.
 type callerServerStep struct{ entryOnly }
 
 func (callerServerStep) String() string { return "callers" }
@@ -375,8 +374,8 @@
 	}))
 }
 
-// backendProxyStep registers the gate last, so that it is the first to stop and waits
-// for the requests in progress while all else still runs.
+// backendProxyStep registers the backend proxy last, so that it stops first and waits
+// for the requests in progress while all other services still run.
 type backendProxyStep struct{ agentOnly }
 
 func (backendProxyStep) String() string { return "gate" }
--- a/internal/daemon/tablestore.go
+++ b/internal/daemon/tablestore.go
@@ -20,33 +20,32 @@
 // TableKey is the key of the table in the key-value service.
 const TableKey = "cinderslip/table"
 
-// ErrUndecided reports an edit of which it is not known yet whether it was
-// accepted. The same edit id settles it later.
+// ErrUndecided means that it is not yet known whether an edit was applied. A later lookup or
+// a retry with the same edit id decides it.
 var ErrUndecided = errors.New("edit is undecided")
 
 const (
-	// tableReadInterval is how often a relay reads the table without being woken,
-	// in case a watch has gone silent.
+	// tableReadInterval is the interval at which a relay reads the table without a
+	// watch event, in case the watch hangs.
 	tableReadInterval = 5 * time.Second
-	// tableReadTimeout bounds such a read, and tableReadRetryDelay is the wait after one that failed: an edit
-	// has to be in force in all regions in eight seconds, and a service that is back after
-	// an outage must not hide behind a call that it has swallowed.
+	// tableReadTimeout bounds a read of the table, and tableReadRetryDelay is the delay after a failed read.
+	// An edit must be in force in all regions within 8 seconds, so a call that hangs since
+	// an outage of the key-value service must not delay the next read for long.
 	tableReadTimeout    = 2 * time.Second
 	tableReadRetryDelay = 500 * time.Millisecond
-	// tableWatchTimeout bounds one waiting watch.
+	// tableWatchTimeout bounds one watch call.
 	tableWatchTimeout = time.Minute
-	// platformCallTimeout bounds one call of the key-value service.
+	// platformCallTimeout bounds one call to a platform service.
 	platformCallTimeout = 5 * time.Second
-	// confirmAttempts and confirmInterval bound how long an edit whose answer was lost is
-	// looked for before it is called undecided.
+	// confirmAttempts and confirmInterval bound the lookups of an edit whose response was lost,
+	// before it is reported as undecided.
 	confirmAttempts = 4
 	confirmInterval = 250 * time.Millisecond
-	// maxEditAttempts bounds how often an edit is applied anew after another edit.
+	// maxEditAttempts bounds the attempts to apply an edit while concurrent edits win the compare-and-swap.
 	maxEditAttempts = 50
 )
 
-// TableStore brings the table from the key-value service into the replicated
-// items, and makes edits.
+// TableStore publishes the table of the key-value service as replicated items and applies edits.
 type TableStore struct {
 	kv           provider.KeyValue
 	sources      []provider.WeightSource
@@ -60,110 +59,110 @@
 	readRevision chan provider.Revision
 }
 
-// NewTableStore starts to follow the table while isRelay holds.
+// NewTableStore starts following the table while isRelay returns true.
 func NewTableStore(kv provider.KeyValue, sources []provider.WeightSource, replica *Replica,
 	clock clockwork.Clock, log zerolog.Logger, metrics *Metrics, isRelay func() bool,
 ) *TableStore {
-	c := &TableStore{
+	s := &TableStore{
 		kv: kv, sources: sources, replica: replica, clock: clock, log: log, metrics: metrics, isRelay: isRelay,
 		tasks:        kernel.NewTaskGroup(),
 		wake:         make(chan struct{}, 1),
 		readRevision: make(chan provider.Revision, 1),
 	}
-	c.tasks.Go(c.run)
-	c.tasks.Go(c.watch)
-	return c
+	s.tasks.Go(s.run)
+	s.tasks.Go(s.watch)
+	return s
 }
 
 // String returns the service's name.
-func (c *TableStore) String() string { return "configuration" }
+func (s *TableStore) String() string { return "configuration" }
 
-// Stop ends following the table.
-func (c *TableStore) Stop(ctx context.Context) error { return c.tasks.Stop(ctx) }
+// Stop ends the reads and watches of the table.
+func (s *TableStore) Stop(ctx context.Context) error { return s.tasks.Stop(ctx) }
 
-func (c *TableStore) run(ctx context.Context) {
+func (s *TableStore) run(ctx context.Context) {
 	for {
 		wait := tableReadInterval
-		if c.isRelay() && !c.readTable(ctx) {
+		if s.isRelay() && !s.readTable(ctx) {
 			wait = tableReadRetryDelay
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.wake:
-		case <-c.clock.After(wait):
+		case <-s.wake:
+		case <-s.clock.After(wait):
 		}
 	}
 }
 
-// readTable reads the table; done is false if that failed.
-func (c *TableStore) readTable(ctx context.Context) (done bool) {
-	readCtx, cancel := clockwork.WithTimeout(ctx, c.clock, tableReadTimeout)
+// readTable reads and publishes the table. It reports whether the read succeeded.
+func (s *TableStore) readTable(ctx context.Context) (ok bool) {
+	readCtx, cancel := clockwork.WithTimeout(ctx, s.clock, tableReadTimeout)
 	defer cancel()
-	held, revision, err := c.load(readCtx)
+	current, revision, err := s.load(readCtx)
 	if err != nil {
-		c.metrics.keyValueErrors.Inc()
-		c.log.Warn().Err(err).Msg("table cannot be read")
+		s.metrics.keyValueErrors.Inc()
+		s.log.Warn().Err(err).Msg("cannot read table; retrying")
 		return false
 	}
-	c.publish(held)
+	s.publish(current)
 	select {
-	case <-c.readRevision:
+	case <-s.readRevision:
 	default:
 	}
-	c.readRevision <- revision
+	s.readRevision <- revision
 	return true
 }
 
-// watch waits for the next change after what was read last.
-func (c *TableStore) watch(ctx context.Context) {
+// watch waits for changes after the revision that was last read and then triggers a read.
+func (s *TableStore) watch(ctx context.Context) {
 	for {
 		var after provider.Revision
 		select {
 		case <-ctx.Done():
 			return
-		case after = <-c.readRevision:
+		case after = <-s.readRevision:
 		}
 		watchCtx, cancel := context.WithTimeout(ctx, tableWatchTimeout)
-		c.metrics.keyValueCalls.WithLabelValues("watch").Inc()
-		err := c.kv.Watch(watchCtx, TableKey, after)
+		s.metrics.keyValueCalls.WithLabelValues("watch").Inc()
+		err := s.kv.Watch(watchCtx, TableKey, after)
 		cancel()
 		if err != nil {
 			continue
 		}
 		select {
-		case c.wake <- struct{}{}:
+		case s.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func (c *TableStore) load(ctx context.Context) (*table.Table, provider.Revision, error) {
+func (s *TableStore) load(ctx context.Context) (*table.Table, provider.Revision, error) {
 	callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
-	c.metrics.keyValueCalls.WithLabelValues("get").Inc()
-	entry, err := c.kv.Get(callCtx, TableKey)
+	s.metrics.keyValueCalls.WithLabelValues("get").Inc()
+	entry, err := s.kv.Get(callCtx, TableKey)
 	if err != nil {
 		return nil, 0, err
 	}
-	held := &table.Table{}
+	current := &table.Table{}
 	if entry.Revision == 0 {
-		return held, 0, nil
+		return current, 0, nil
 	}
-	if err := json.Unmarshal(entry.Value, held); err != nil {
+	if err := json.Unmarshal(entry.Value, current); err != nil {
 		return nil, 0, eris.Wrap(err, "decoding the table")
 	}
-	return held, entry.Revision, nil
+	return current, entry.Revision, nil
 }
 
-// publish turns the table into items. A row's version is the revision of its
-// last edit, so that every reader makes the same item.
-func (c *TableStore) publish(held *table.Table) {
-	items := make([]state.Item, 0, len(held.Entries)+1)
-	for _, entry := range held.Entries {
+// publish publishes the table as replicated items. The version of a row's item is the revision of
+// the row's last edit, so that every relay publishes the same item.
+func (s *TableStore) publish(current *table.Table) {
+	items := make([]state.Item, 0, len(current.Entries)+1)
+	for _, entry := range current.Entries {
 		value, err := state.Encode(entry.Row)
 		if err != nil {
-			c.log.Error().Err(err).Msg("row cannot be encoded")
+			s.log.Error().Err(err).Msg("cannot encode table row; skipping it")
 			continue
 		}
 		items = append(items, state.Item{
@@ -173,45 +172,45 @@
 			Value:   value,
 		})
 	}
-	head, err := state.Encode(held.Revision)
+	head, err := state.Encode(current.Revision)
 	if err != nil {
-		c.log.Error().Err(err).Msg("revision cannot be encoded")
+		s.log.Error().Err(err).Msg("cannot encode table revision; table not published")
 		return
 	}
-	items = append(items, state.Item{Key: tableHeadKey, Version: state.Version{Major: uint64(held.Revision)}, Value: head})
-	c.replica.Publish(items...)
+	items = append(items, state.Item{Key: tableHeadKey, Version: state.Version{Major: uint64(current.Revision)}, Value: head})
+	s.replica.Publish(items...)
 }
 
-// Edit makes an edit and returns the table that holds it. Errors wrap
+// Edit applies an edit and returns the table that contains it. Errors wrap
 // *table.ConflictError, table.Findings, table.ErrBaseAhead, ErrUndecided or
-// provider.ErrUnavailable; with all but ErrUndecided nothing was changed.
-func (c *TableStore) Edit(ctx context.Context, edit table.Edit) (*table.Table, error) {
+// provider.ErrUnavailable. After any of them but ErrUndecided, the table is unchanged.
+func (s *TableStore) Edit(ctx context.Context, edit table.Edit) (*table.Table, error) {
 	for range maxEditAttempts {
-		held, revision, err := c.load(ctx)
+		current, revision, err := s.load(ctx)
 		if err != nil {
 			return nil, err
 		}
-		next, err := held.Apply(edit, c.clock.Now())
+		next, err := current.Apply(edit, s.clock.Now())
 		if err != nil {
 			return nil, err
 		}
-		if next == held {
-			c.publish(held)
-			return held, nil
+		if next == current {
+			s.publish(current)
+			return current, nil
 		}
-		if err := c.checkPublished(ctx, edit, next); err != nil {
+		if err := s.checkPublished(ctx, edit, next); err != nil {
 			return nil, err
 		}
-		swapped, err := c.compareAndSwap(ctx, next, revision)
+		swapped, err := s.compareAndSwap(ctx, next, revision)
 		if errors.Is(err, provider.ErrUncertain) {
-			return c.confirmEdit(ctx, edit.ID, err)
+			return s.confirmEdit(ctx, edit.ID, err)
 		}
 		if err != nil {
 			return nil, err
 		}
 		if swapped {
-			c.publish(next)
-			c.log.Info().Str("edit", string(edit.ID)).Str("author", edit.Author).
+			s.publish(next)
+			s.log.Info().Str("edit", string(edit.ID)).Str("author", edit.Author).
 				Uint64("revision", uint64(next.Revision)).Msg("edit accepted")
 			return next, nil
 		}
@@ -219,73 +218,73 @@
 	return nil, fmt.Errorf("other edits kept coming first: %w", provider.ErrUnavailable)
 }
 
-func (c *TableStore) compareAndSwap(ctx context.Context, next *table.Table, revision provider.Revision) (bool, error) {
+func (s *TableStore) compareAndSwap(ctx context.Context, next *table.Table, revision provider.Revision) (bool, error) {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return false, eris.Wrap(err, "encoding the table")
 	}
 	callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
-	c.metrics.keyValueCalls.WithLabelValues("swap").Inc()
-	_, swapped, err := c.kv.CompareAndSwap(callCtx, TableKey, value, revision, 0)
+	s.metrics.keyValueCalls.WithLabelValues("swap").Inc()
+	_, swapped, err := s.kv.CompareAndSwap(callCtx, TableKey, value, revision, 0)
 	return swapped, err
 }
 
-// confirmEdit looks for an edit whose answer was lost. An edit that is not found may
-// still be under way, so it is never reported as refused.
-func (c *TableStore) confirmEdit(ctx context.Context, id table.EditID, cause error) (*table.Table, error) {
+// confirmEdit looks up an edit whose response was lost. If the edit is not found, the
+// key-value service may still apply it, so the error is ErrUndecided.
+func (s *TableStore) confirmEdit(ctx context.Context, id table.EditID, cause error) (*table.Table, error) {
 	for range confirmAttempts {
-		held, _, err := c.load(ctx)
+		current, _, err := s.load(ctx)
 		if err == nil {
-			if _, done := held.Find(id); done {
-				c.publish(held)
-				return held, nil
+			if _, found := current.Find(id); found {
+				s.publish(current)
+				return current, nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-c.clock.After(confirmInterval):
+		case <-s.clock.After(confirmInterval):
 		}
 	}
 	return nil, fmt.Errorf("%w: %w", ErrUndecided, cause)
 }
 
-// Find reads an edit's record back.
-func (c *TableStore) Find(ctx context.Context, id table.EditID) (table.EditRecord, bool, error) {
-	held, _, err := c.load(ctx)
+// Find returns the record of an edit and whether the table contains it.
+func (s *TableStore) Find(ctx context.Context, id table.EditID) (table.EditRecord, bool, error) {
+	current, _, err := s.load(ctx)
 	if err != nil {
 		return table.EditRecord{}, false, err
 	}
-	record, done := held.Find(id)
-	return record, done, nil
+	record, found := current.Find(id)
+	return record, found, nil
 }
 
-// History returns the records that are kept, oldest first.
-func (c *TableStore) History(ctx context.Context) ([]table.EditRecord, error) {
-	held, _, err := c.load(ctx)
+// History returns the records of edits in the table, oldest first.
+func (s *TableStore) History(ctx context.Context) ([]table.EditRecord, error) {
+	current, _, err := s.load(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return held.History, nil
+	return current.History, nil
 }
 
-// checkPublished refuses an edit that names a version which nobody published.
-// Rows whose version the edit leaves alone are not looked at.
-func (c *TableStore) checkPublished(ctx context.Context, edit table.Edit, next *table.Table) error {
-	touched := make(map[table.Key]bool)
+// checkPublished returns table.Findings if an edit sets a version that is not published.
+// It does not check rows whose version the edit does not set.
+func (s *TableStore) checkPublished(ctx context.Context, edit table.Edit, next *table.Table) error {
+	edited := make(map[table.Key]bool)
 	for _, change := range edit.Changes {
 		if _, ok := change.Set[table.ColumnVersion]; ok {
-			touched[change.Key] = true
+			edited[change.Key] = true
 		}
 	}
 	var rows []table.Row
 	published := make(map[table.Model][]table.ModelVersion)
 	for _, row := range next.Rows() {
-		if !touched[row.Key()] {
+		if !edited[row.Key()] {
 			continue
 		}
 		rows = append(rows, row)
-		versions, err := c.Versions(ctx, row.Model)
+		versions, err := s.Versions(ctx, row.Model)
 		if errors.Is(err, provider.ErrNotPublished) {
 			continue
 		}
@@ -300,29 +299,30 @@
 	return nil
 }
 
-// Versions lists the published versions of a model, from the first source that
-// answers. Errors wrap provider.ErrNotPublished or provider.ErrUnavailable.
-func (c *TableStore) Versions(ctx context.Context, model table.Model) ([]table.ModelVersion, error) {
-	return trySources(c.sources, func(source provider.WeightSource) ([]table.ModelVersion, error) {
+// Versions returns the published versions of a model from the first source that
+// responds. Errors wrap provider.ErrNotPublished or provider.ErrUnavailable.
+func (s *TableStore) Versions(ctx context.Context, model table.Model) ([]table.ModelVersion, error) {
+	return trySources(s.sources, func(source provider.WeightSource) ([]table.ModelVersion, error) {
 		callCtx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 		defer cancel()
 		return source.Versions(callCtx, model)
 	})
 }
 
-// trySources asks each source in turn. If none has the answer, the error of one
-// that may have it goes before that of one that surely has not.
-func trySources[T any](sources []provider.WeightSource, ask func(provider.WeightSource) (T, error)) (T, error) {
+// trySources calls each source in order until one succeeds. If all fail, it returns
+// provider.ErrNotPublished only if every source did; otherwise it returns
+// the last other error, because that source may have the content.
+func trySources[T any](sources []provider.WeightSource, call func(provider.WeightSource) (T, error)) (T, error) {
 	var zero T
-	problem := provider.ErrNotPublished
+	lastErr := provider.ErrNotPublished
 	for _, source := range sources {
-		answer, err := ask(source)
+		result, err := call(source)
 		if err == nil {
-			return answer, nil
+			return result, nil
 		}
 		if !errors.Is(err, provider.ErrNotPublished) {
-			problem = err
+			lastErr = err
 		}
 	}
-	return zero, problem
+	return zero, lastErr
 }
--- a/internal/daemon/tablestore_test.go
+++ b/internal/daemon/tablestore_test.go
@@ -15,9 +15,9 @@
 
 func newTestTableStore(t *testing.T, p *testPlatform, n *testNode) *TableStore {
 	t.Helper()
-	c := NewTableStore(p.kvClient, []provider.WeightSource{p.source}, n.replica, clockwork.NewRealClock(), nopLogger(), NewMetrics(), always)
-	t.Cleanup(func() { stopService(t, c) })
-	return c
+	s := NewTableStore(p.kvClient, []provider.WeightSource{p.source}, n.replica, clockwork.NewRealClock(), nopLogger(), NewMetrics(), always)
+	t.Cleanup(func() { stopService(t, s) })
+	return s
 }
 
 func rowEdit(id table.EditID, base table.Revision, column table.Column, text string) table.Edit {
@@ -26,32 +26,32 @@
 	}}
 }
 
-// newConfiguredPlatform is a platform with one published version and one row.
+// newConfiguredPlatform returns a platform with one published version and a table of one row.
 func newConfiguredPlatform(t *testing.T) (*testPlatform, *testNode, *TableStore) {
 	t.Helper()
 	p := newTestPlatform(t)
 	p.publish(t, "kakiwake", "v1", []byte("weights"), 4)
 	n := newTestNode(t, 1, noLinks)
-	c := newTestTableStore(t, p, n)
-	_, err := c.Edit(t.Context(), rowEdit("first", 0, table.ColumnVersion, "v1"))
+	s := newTestTableStore(t, p, n)
+	_, err := s.Edit(t.Context(), rowEdit("first", 0, table.ColumnVersion, "v1"))
 	require.NoError(t, err)
-	return p, n, c
+	return p, n, s
 }
 
 func TestEditReachesAllEntryBoxes(t *testing.T) {
 	p, n, _ := newConfiguredPlatform(t)
 	other := newTestNode(t, 2, noLinks)
 	newTestTableStore(t, p, other)
-	for _, at := range []*testNode{n, other} {
+	for _, node := range []*testNode{n, other} {
 		eventually(t, func() bool {
-			rows, revision := at.view.Rows()
+			rows, revision := node.view.Rows()
 			return revision == 1 && len(rows) == 1 && rows[0].Version == "v1"
-		}, "the row comes into force")
+		}, "the row is in force")
 	}
 }
 
 func TestEditWithLostResponseIsAppliedOnce(t *testing.T) {
-	p, _, c := newConfiguredPlatform(t)
+	p, _, s := newConfiguredPlatform(t)
 	var once sync.Once
 	p.kvServer.SetFault(func(path string) (fault standin.Fault) {
 		if path == "/v3/kv/txn" {
@@ -59,57 +59,57 @@
 		}
 		return fault
 	})
-	held, err := c.Edit(t.Context(), rowEdit("lost", 1, table.ColumnWeight, "5"))
+	edited, err := s.Edit(t.Context(), rowEdit("lost", 1, table.ColumnWeight, "5"))
 	require.NoError(t, err)
-	require.Equal(t, table.Revision(2), held.Revision)
-	records, err := c.History(t.Context())
+	require.Equal(t, table.Revision(2), edited.Revision)
+	records, err := s.History(t.Context())
 	require.NoError(t, err)
 	require.Len(t, records, 2)
 }
 
 func TestPossiblyAppliedEditIsNeverReportedAsRefused(t *testing.T) {
-	p, _, c := newConfiguredPlatform(t)
-	// The write takes effect, its answer is lost, and the service is gone.
+	p, _, s := newConfiguredPlatform(t)
+	// The service applies the write, drops the response, and then becomes unavailable.
 	var mu sync.Mutex
-	gone := false
+	down := false
 	p.kvServer.SetFault(func(path string) standin.Fault {
 		mu.Lock()
 		defer mu.Unlock()
-		if gone {
+		if down {
 			return standin.Fault{Status: http.StatusServiceUnavailable}
 		}
-		gone = path == "/v3/kv/txn"
-		return standin.Fault{DropResponse: gone}
+		down = path == "/v3/kv/txn"
+		return standin.Fault{DropResponse: down}
 	})
-	_, err := c.Edit(t.Context(), rowEdit("undecided", 1, table.ColumnWeight, "5"))
+	_, err := s.Edit(t.Context(), rowEdit("undecided", 1, table.ColumnWeight, "5"))
 	require.ErrorIs(t, err, ErrUndecided)
 	p.kvServer.SetFault(nil)
-	_, found, err := c.Find(t.Context(), "undecided")
+	_, found, err := s.Find(t.Context(), "undecided")
 	require.NoError(t, err)
-	require.True(t, found, "it is settled later by its id")
+	require.True(t, found, "a later lookup by id finds the edit")
 }
 
 func TestEditDuringAnOutageChangesNothing(t *testing.T) {
-	p, _, c := newConfiguredPlatform(t)
+	p, _, s := newConfiguredPlatform(t)
 	p.kvServer.SetFault(func(string) standin.Fault { return standin.Fault{Status: http.StatusServiceUnavailable} })
-	_, err := c.Edit(t.Context(), rowEdit("down", 1, table.ColumnWeight, "5"))
+	_, err := s.Edit(t.Context(), rowEdit("down", 1, table.ColumnWeight, "5"))
 	require.ErrorIs(t, err, provider.ErrUnavailable)
 	require.NotErrorIs(t, err, ErrUndecided)
 	p.kvServer.SetFault(nil)
-	_, found, err := c.Find(t.Context(), "down")
+	_, found, err := s.Find(t.Context(), "down")
 	require.NoError(t, err)
 	require.False(t, found)
 }
 
 func TestConcurrentEditsMergeOrConflict(t *testing.T) {
-	_, n, c := newConfiguredPlatform(t)
+	_, n, s := newConfiguredPlatform(t)
 	columns := map[table.EditID]table.Column{"a": table.ColumnWeight, "b": table.ColumnFloor, "c": table.ColumnWeight}
 	results := make(map[table.EditID]error)
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	for id, column := range columns {
 		wait.Go(func() {
-			_, err := c.Edit(t.Context(), rowEdit(id, 1, column, "0.5"))
+			_, err := s.Edit(t.Context(), rowEdit(id, 1, column, "0.5"))
 			mu.Lock()
 			defer mu.Unlock()
 			results[id] = err
@@ -125,12 +125,12 @@
 		}
 	}
 	require.Equal(t, 1, conflicts, "one of the two edits of the same cell")
-	eventually(t, func() bool { _, revision := n.view.Rows(); return revision == 3 }, "both others are in force")
+	eventually(t, func() bool { _, revision := n.view.Rows(); return revision == 3 }, "both other edits are in force")
 }
 
 func TestUnpublishedVersionIsAFinding(t *testing.T) {
-	_, _, c := newConfiguredPlatform(t)
-	_, err := c.Edit(t.Context(), rowEdit("bad", 1, table.ColumnVersion, "v9"))
+	_, _, s := newConfiguredPlatform(t)
+	_, err := s.Edit(t.Context(), rowEdit("bad", 1, table.ColumnVersion, "v9"))
 	var findings table.Findings
 	require.ErrorAs(t, err, &findings)
 	require.Equal(t, table.ColumnVersion, findings[0].Column)
--- a/internal/daemon/versions.go
+++ b/internal/daemon/versions.go
@@ -9,20 +9,20 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// pinHeld takes over the pins of what boxes hold, so that a source that is down
-// does not matter for versions in use.
-func (p *Planner) pinHeld(members []member.Record) {
+// pinFromRecords pins the manifests of the versions that boxes already hold, so that
+// plans for versions in use don't depend on the weight sources.
+func (p *Planner) pinFromRecords(members []member.Record) {
 	for _, record := range members {
-		for _, held := range record.Copies {
-			if !p.isPinned(held.Model, held.Version) {
-				p.setPin(held.Model, held.Version, held.Manifest)
+		for _, replica := range record.Copies {
+			if !p.isPinned(replica.Model, replica.Version) {
+				p.setPin(replica.Model, replica.Version, replica.Manifest)
 			}
 		}
 	}
 }
 
-// resolveVersions pins the manifest of each version that the table comes to name. It is
-// a duty of its own, so that a slow source does not hold up planning.
+// resolveVersions pins the manifest of each version in the table. It runs in a
+// goroutine of its own, so that a slow source does not delay planning.
 func (p *Planner) resolveVersions(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := p.view.Changed()
@@ -47,7 +47,7 @@
 		_, err = weights.Parse(content, weights.Digest{})
 	}
 	if err != nil {
-		p.log.Warn().Str("model", string(row.Model)).Str("version", string(row.Version)).Err(err).Msg("version cannot be resolved")
+		p.log.Warn().Str("model", string(row.Model)).Str("version", string(row.Version)).Err(err).Msg("cannot read manifest of version; retrying")
 		p.recordLookupFailure(row)
 		return
 	}
@@ -99,7 +99,7 @@
 	values[a][b] = value
 }
 
-// pins returns a copy that a plan can read while versions are added.
+// pins returns a copy of the pinned manifests, which stays unchanged while other versions are pinned.
 func (p *Planner) pins() map[table.Model]map[table.ModelVersion]weights.Digest {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/daemon/view.go
+++ b/internal/daemon/view.go
@@ -18,22 +18,22 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// tableRowPrefix starts the key of each row of the table in the store. The item
-// tableHeadKey holds the revision up to which the rows are in force.
+// tableRowPrefix is the key prefix of the table's rows in the store. The item tableHeadKey
+// holds the revision of the table.
 const (
 	tableRowPrefix = "table/row/"
 	tableHeadKey   = "table/head"
 )
 
-// versionedAssignment is a box's assignment with the version under which it is replicated.
+// versionedAssignment is a box's assignment with the version of its replicated item.
 type versionedAssignment struct {
 	plan.Assignment
 	version state.Version
 	raw     []byte
 }
 
-// View is the replicated items read into the form that decisions need. One duty
-// follows the store; what changes is applied item by item.
+// View holds the decoded replicated items, indexed for routing and planning. One goroutine
+// follows the store and applies each changed item.
 type View struct {
 	store  *state.Store
 	log    zerolog.Logger
@@ -43,7 +43,7 @@
 	mu      sync.RWMutex
 	members map[member.BoxID]member.Record
 	rows    map[table.Key]table.Row
-	// models and groups count the rows that name them.
+	// models and groups hold the number of rows for each model and group.
 	models          map[table.Model]int
 	groups          map[table.Group]int
 	revision        table.Revision
@@ -54,14 +54,14 @@
 	changed         chan struct{}
 	shareGeneration uint64
 	entryGeneration uint64
-	// entryCache is worked out anew when entryGeneration has left entryCacheGeneration behind.
+	// entryCache is recomputed when entryGeneration differs from entryCacheGeneration.
 	entryCache           map[member.Region][]member.Record
 	entryCacheGeneration uint64
-	// leavingHints holds the incarnation of boxes that the platform lists as leaving.
+	// leavingHints holds the incarnations of the boxes that the platform lists as leaving.
 	leavingHints map[member.BoxID]member.Incarnation
 }
 
-// NewView follows a store and keeps a router for callers of a region.
+// NewView returns a view that follows a store and updates a router for callers of a region.
 func NewView(store *state.Store, region member.Region, log zerolog.Logger) *View {
 	v := &View{
 		store: store, log: log,
@@ -84,10 +84,10 @@
 // String returns the service's name.
 func (v *View) String() string { return "view" }
 
-// Stop ends following the store.
+// Stop stops following the store.
 func (v *View) Stop(ctx context.Context) error { return v.tasks.Stop(ctx) }
 
-// Router returns the router that the view keeps.
+// Router returns the router that the view updates.
 func (v *View) Router() *route.Router { return v.router }
 
 func (v *View) follow(ctx context.Context) {
@@ -113,7 +113,7 @@
 	defer v.mu.Unlock()
 	for _, item := range items {
 		if err := v.applyItem(item); err != nil {
-			v.log.Error().Str("key", item.Key).Err(err).Msg("replicated item cannot be read")
+			v.log.Error().Str("key", item.Key).Err(err).Msg("cannot decode replicated item; skipping it")
 		}
 	}
 	close(v.changed)
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// applyRow keeps a row and counts how many name its model and its group.
+// applyRow stores or deletes a row and updates the counts of its model and group.
 func (v *View) applyRow(item state.Item) error {
 	v.shareGeneration++
 	key := rowKey(tableRowPrefix, item)
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// setMember keeps a record, with the platform's hint that the box is leaving.
+// setMember stores a record. It applies the platform's hint that the box is leaving.
 func (v *View) setMember(record member.Record) {
 	if record.Status == member.StatusUp && v.leavingHints[record.Box] == record.Incarnation {
 		record.Status = member.StatusLeaving
@@ -215,10 +215,10 @@
 
 func (v *View) applyAssignment(item state.Item) error {
 	box := member.BoxID(strings.TrimPrefix(item.Key, plan.BoxPrefix))
-	for _, held := range v.assignments[box].Versions {
-		delete(v.swarms[held.Manifest], box)
-		if len(v.swarms[held.Manifest]) == 0 {
-			delete(v.swarms, held.Manifest)
+	for _, pinned := range v.assignments[box].Versions {
+		delete(v.swarms[pinned.Manifest], box)
+		if len(v.swarms[pinned.Manifest]) == 0 {
+			delete(v.swarms, pinned.Manifest)
 		}
 	}
 	if item.Deleted {
@@ -230,16 +230,16 @@
 		return err
 	}
 	v.assignments[box] = next
-	for _, held := range next.Versions {
-		if v.swarms[held.Manifest] == nil {
-			v.swarms[held.Manifest] = make(map[member.BoxID]bool)
+	for _, pinned := range next.Versions {
+		if v.swarms[pinned.Manifest] == nil {
+			v.swarms[pinned.Manifest] = make(map[member.BoxID]bool)
 		}
-		v.swarms[held.Manifest][box] = true
+		v.swarms[pinned.Manifest][box] = true
 	}
 	return nil
 }
 
-// applyRowValue keeps a value under the row key that its item's key holds.
+// applyRowValue stores or deletes the value of an item under the row key in the item's key.
 func applyRowValue[V any](values map[table.Key]V, prefix string, item state.Item) error {
 	key := rowKey(prefix, item)
 	if item.Deleted {
@@ -261,21 +261,21 @@
 	return v.changed
 }
 
-// ShareGeneration changes whenever something does that shares depend on.
+// ShareGeneration returns a number that changes with every item that can affect shares.
 func (v *View) ShareGeneration() uint64 {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.shareGeneration
 }
 
-// EntryGeneration changes whenever the record of an entry box does.
+// EntryGeneration returns a number that changes with the record of any entry box.
 func (v *View) EntryGeneration() uint64 {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.entryGeneration
 }
 
-// Rows returns the table in force, ordered, with its revision.
+// Rows returns the sorted rows of the current table and its revision.
 func (v *View) Rows() ([]table.Row, table.Revision) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -284,7 +284,7 @@
 	return rows, v.revision
 }
 
-// Members returns all records, ordered by box.
+// Members returns all records, sorted by box.
 func (v *View) Members() []member.Record {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -301,8 +301,8 @@
 	return record, ok
 }
 
-// Entries returns the entry boxes that are up, of one region or, for the empty
-// region, of all; ordered by box. The answer is shared and must not be changed.
+// Entries returns the records of the entry boxes of a region that are up, sorted by box. An empty
+// region means all regions. The returned slice is shared and must not be modified.
 func (v *View) Entries(region member.Region) []member.Record {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -327,7 +327,7 @@
 	return entries
 }
 
-// Plan returns the plan in force with its head.
+// Plan returns the current plan and its head.
 func (v *View) Plan() (plan.Plan, plan.Head) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -335,27 +335,27 @@
 		Boxes: make(map[member.BoxID]plan.Assignment, len(v.assignments)),
 		Rows:  maps.Clone(v.rowPlans),
 	}
-	for box, held := range v.assignments {
-		current.Boxes[box] = held.Assignment
+	for box, assigned := range v.assignments {
+		current.Boxes[box] = assigned.Assignment
 	}
 	return current, v.head
 }
 
-// PlanHead returns the name of the plan in force.
+// PlanHead returns the head of the current plan, which identifies it.
 func (v *View) PlanHead() plan.Head {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.head
 }
 
-// RowPlans returns what is in force for every row.
+// RowPlans returns the current plan of every row.
 func (v *View) RowPlans() map[table.Key]plan.RowPlan {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return maps.Clone(v.rowPlans)
 }
 
-// RowPlan returns what is in force for a group and model.
+// RowPlan returns the current plan of the row for a group and model.
 func (v *View) RowPlan(key table.Key) (plan.RowPlan, bool) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -380,11 +380,11 @@
 func (v *View) assignment(box member.BoxID) (versionedAssignment, bool) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	held, ok := v.assignments[box]
-	return held, ok
+	assigned, ok := v.assignments[box]
+	return assigned, ok
 }
 
-// Swarm returns the boxes that carry a manifest or are to, ordered by box.
+// Swarm returns the boxes that are assigned a manifest, sorted by box.
 func (v *View) Swarm(manifest weights.Digest) []member.BoxID {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
