--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// closeRecorder is a connection of which nothing is used but that it can be closed.
+// closeRecorder is a net.Conn that records whether it was closed. All other methods panic.
 type closeRecorder struct {
 	net.Conn
 	closed bool
@@ -36,7 +36,7 @@
 	f.Fuzz(func(t *testing.T, stream []byte, head bool) {
 		pool := NewPool(Options{
 			Clock: clockwork.NewFakeClock(), MaxIdlePerServer: 1,
-			Matches: func(answer *http.Response, id string) bool { return answer.Header.Get("Id") == id },
+			Matches: func(response *http.Response, id string) bool { return response.Header.Get("Id") == id },
 		})
 		raw := &closeRecorder{}
 		c := &conn{Conn: raw, pool: pool, address: "there", reader: bufio.NewReaderSize(bytes.NewReader(stream), bufferSize)}
@@ -49,40 +49,40 @@
 			return
 		}
 		checkHead(t, response)
-		answer := &Response{Response: response, conn: c, writeResult: make(chan error, 1), keepAlive: keepAliveTimeout(response.Header)}
-		answer.writeResult <- nil
-		body, err := io.ReadAll(answer)
-		checkBody(t, answer, stream, body, err)
-		answer.Close()
-		if kept := len(pool.idle["there"]) == 1; kept == raw.closed {
-			t.Fatalf("kept is %v, closed is %v", kept, raw.closed)
-		} else if kept && (err != nil || response.Close || !answer.IsSelfDelimited()) {
-			t.Fatalf("a connection is kept whose answer has no certain end: %v", err)
+		wrapped := &Response{Response: response, conn: c, writeResult: make(chan error, 1), keepAlive: keepAliveTimeout(response.Header)}
+		wrapped.writeResult <- nil
+		body, err := io.ReadAll(wrapped)
+		checkBody(t, wrapped, stream, body, err)
+		wrapped.Close()
+		if idle := len(pool.idle["there"]) == 1; idle == raw.closed {
+			t.Fatalf("connection must be either idle or closed: idle %v, closed %v", idle, raw.closed)
+		} else if idle && (err != nil || response.Close || !wrapped.IsSelfDelimited()) {
+			t.Fatalf("connection is reused although the end of its response is unknown: %v", err)
 		}
 	})
 }
 
-// checkHead checks what must hold of an answer that is passed on.
+// checkHead checks that a response belongs to the request and is not interim.
 func checkHead(t *testing.T, response *http.Response) {
 	t.Helper()
 	if response.Header.Get("Id") != "1" {
-		t.Fatal("the answer belongs to another request")
+		t.Fatal("response belongs to another request")
 	}
 	if response.StatusCode < http.StatusOK && response.StatusCode != http.StatusSwitchingProtocols {
-		t.Fatalf("an interim answer is passed on: %s", response.Status)
+		t.Fatalf("interim response is returned: %s", response.Status)
 	}
 }
 
-// checkBody checks the body against what was sent.
-func checkBody(t *testing.T, answer *Response, stream, body []byte, err error) {
+// checkBody checks that the body is part of the sent stream and has the announced length.
+func checkBody(t *testing.T, response *Response, stream, body []byte, err error) {
 	t.Helper()
 	if len(body) > len(stream) {
-		t.Fatalf("a body of %d bytes of %d", len(body), len(stream))
+		t.Fatalf("body has %d bytes, but only %d were sent", len(body), len(stream))
 	}
-	if len(answer.TransferEncoding) == 0 && !bytes.Contains(stream, body) {
-		t.Fatalf("%q was not sent", body)
+	if len(response.TransferEncoding) == 0 && !bytes.Contains(stream, body) {
+		t.Fatalf("body %q was not sent", body)
 	}
-	if answer.ContentLength > 0 && answer.Request.Method != http.MethodHead && err == nil && int64(len(body)) != answer.ContentLength {
-		t.Fatalf("%d bytes are whole of %d", len(body), answer.ContentLength)
+	if response.ContentLength > 0 && response.Request.Method != http.MethodHead && err == nil && int64(len(body)) != response.ContentLength {
+		t.Fatalf("body of %d bytes is accepted as complete, want %d bytes", len(body), response.ContentLength)
 	}
 }
--- a/internal/upstream/headers.go
+++ b/internal/upstream/headers.go
@@ -5,15 +5,14 @@
 	"strings"
 )
 
-// HopByHopHeaders concern one connection and are not passed on (RFC 9110,
-// section 7.6.1). Content-Length is set anew from what is known of the body.
+// HopByHopHeaders lists the headers that apply to a single connection and must not be forwarded (RFC 9110,
+// section 7.6.1). Content-Length is included because it is recomputed from the forwarded body.
 var HopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding",
 	"Upgrade", "Proxy-Connection", "Content-Length", "Expect",
 }
 
-// RemoveHopByHopHeaders removes what is not passed on, also what the values of
-// Connection name.
+// RemoveHopByHopHeaders removes the headers in HopByHopHeaders and those listed in the Connection header.
 func RemoveHopByHopHeaders(header http.Header) {
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -7,63 +7,61 @@
 	"time"
 )
 
-// Response is the answer of a server. Its body has yet to be read.
+// Response is a server's response whose body has not been read yet.
 type Response struct {
 	*http.Response
 
 	conn *conn
 	stop func() bool
-	// keepAlive is how long the connection may be used again after the answer.
+	// keepAlive is how long the connection may be reused after the response.
 	keepAlive time.Duration
-	// writeResult gives the result of writing the request.
+	// writeResult receives the result of writing the request.
 	writeResult chan error
 	bodyRead    bool
 }
 
-// Read reads the body. io.EOF means that the body is whole.
-func (a *Response) Read(buffer []byte) (int, error) {
-	n, err := a.Body.Read(buffer)
+// Read reads the body. It returns io.EOF once the complete body has been read.
+func (r *Response) Read(buffer []byte) (int, error) {
+	n, err := r.Body.Read(buffer)
 	if errors.Is(err, io.EOF) {
-		a.bodyRead = true
+		r.bodyRead = true
 	}
 	return n, err
 }
 
-// IsSelfDelimited reports whether the end of the body shows by other means than the end
-// of the connection.
-func (a *Response) IsSelfDelimited() bool { return a.ContentLength >= 0 || len(a.TransferEncoding) > 0 }
+// IsSelfDelimited reports whether the end of the body is marked by its length or encoding instead of the end of the
+// connection.
+func (r *Response) IsSelfDelimited() bool { return r.ContentLength >= 0 || len(r.TransferEncoding) > 0 }
 
-// Close gives the connection back if the answer was read whole and the server
-// keeps it open, and closes it otherwise. An answer that was not read whole is given
-// up, and its connection reset.
-func (a *Response) Close() {
-	live := a.stop == nil || a.stop()
-	if !live || !a.bodyRead {
-		a.conn.reset()
+// Close returns the connection to the pool if the response was read completely and the server keeps the connection
+// open. Otherwise it closes the connection, with a reset if the response was not read completely.
+func (r *Response) Close() {
+	live := r.stop == nil || r.stop()
+	if !live || !r.bodyRead {
+		r.conn.reset()
 		return
 	}
-	if a.Response.Close || !a.IsSelfDelimited() || !a.isRequestWritten() {
-		_ = a.conn.Close()
+	if r.Response.Close || !r.IsSelfDelimited() || !r.isRequestWritten() {
+		_ = r.conn.Close()
 		return
 	}
-	a.conn.reusableUntil = a.conn.pool.options.Clock.Now().Add(a.keepAlive)
-	a.conn.pool.putIdle(a.conn)
+	r.conn.reusableUntil = r.conn.pool.options.Clock.Now().Add(r.keepAlive)
+	r.conn.pool.putIdle(r.conn)
 }
 
-// isRequestWritten reports whether the request was written whole. A server may answer
-// before it has read a long body; what comes next on such a connection would be
-// taken for the rest of it.
-func (a *Response) isRequestWritten() bool {
+// isRequestWritten reports whether the request was written completely. A server may respond before it has read a long
+// body. It would read the next request on the same connection as the rest of that body.
+func (r *Response) isRequestWritten() bool {
 	select {
-	case err := <-a.writeResult:
+	case err := <-r.writeResult:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// drain reads an answer that is thrown away. Closing its body would read one that is longer than
-// the limit to its end.
+// drain reads and discards a response of up to drainLimit bytes. It does not close the body of a longer one, because
+// closing would read it to its end.
 func drain(response *http.Response) error {
 	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, drainLimit+1))
 	if n > drainLimit {
@@ -72,22 +70,20 @@
 	return errors.Join(err, response.Body.Close())
 }
 
-// errMismatchedTooLong reports an answer to another request that is longer than drainLimit.
-var errMismatchedTooLong = errors.New("answer to another request is too long")
+// errMismatchedTooLong reports a response to another request that is longer than drainLimit.
+var errMismatchedTooLong = errors.New("response to another request is too long")
 
-// drainLimit bounds an answer that is thrown away, in bytes.
+// drainLimit is the maximum size of a discarded response body, in bytes.
 const drainLimit = 1 << 20
 
-// Discard reads the rest of a short answer and closes it, so that the connection
-// can be kept.
-func (a *Response) Discard() {
-	if _, err := io.Copy(io.Discard, io.LimitReader(a, discardLimit)); err == nil {
-		// The reader has met the end unless the answer is longer.
-		_, _ = a.Read(make([]byte, 1))
+// Discard reads the rest of a short response and closes it, so that the connection can be reused.
+func (r *Response) Discard() {
+	if _, err := io.Copy(io.Discard, io.LimitReader(r, discardLimit)); err == nil {
+		// Read once more to detect the end of the body, which the limited reader may not have reached.
+		_, _ = r.Read(make([]byte, 1))
 	}
-	a.Close()
+	r.Close()
 }
 
-// discardLimit bounds an answer that is read only to keep its connection, in
-// bytes.
+// discardLimit is the maximum number of body bytes that Discard reads to make a connection reusable.
 const discardLimit = 4 << 10
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,19 +1,17 @@
-// Package upstream sends requests to backend servers over connections of its
-// own. One call is one attempt: nothing is ever sent twice, and every failure
-// says whether the server may have run the request.
+// Package upstream sends requests to backend servers over its own pool of connections. Each call makes exactly one
+// attempt: no request is sent twice, and every error states whether the server may have run the request.
 //
-// A connection carries one request at a time. Kept connections are checked
-// before they are used again, and an answer that belongs to another request is
-// read and thrown away, so that a late second answer is never taken for the next
-// one.
+// A connection carries one request at a time. Idle connections are checked before they are reused. A response that
+// belongs to another request is read and discarded, so that a late duplicate response is never used for the next
+// request.
 //
 // # Usage
 //
 //	pool := upstream.NewPool(upstream.Options{...})
-//	answer, err := pool.Send(ctx, &upstream.Request{Address: address, ...})
-//	if err != nil && !upstream.MayHaveRun(err) { ... } // try elsewhere
-//	defer answer.Close()
-//	io.Copy(w, answer.Body())
+//	response, err := pool.Send(ctx, &upstream.Request{Address: address, ...})
+//	if err != nil && !upstream.MayHaveRun(err) { ... } // try another server
+//	defer response.Close()
+//	io.Copy(w, response)
 package upstream
 
 import (
@@ -34,52 +32,50 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// ErrNotSent reports that no byte of the request reached the server.
+// ErrNotSent reports that no byte of the request was sent to the server.
 var ErrNotSent = errors.New("request was not sent")
 
-// ErrNoResponse reports a request that was sent and got no valid answer: it may
-// have run.
+// ErrNoResponse reports a request that was sent but received no valid response. The server may have run it.
 var ErrNoResponse = errors.New("no answer came")
 
-// MayHaveRun reports whether a request that ended with the error may have run.
+// MayHaveRun reports whether the server may have run a request that failed with err.
 func MayHaveRun(err error) bool { return !errors.Is(err, ErrNotSent) }
 
 const (
-	// dialTimeout bounds opening a connection. It is many round trips on any
-	// link between boxes, and short against a caller's patience.
+	// dialTimeout is the timeout for opening a connection. It covers many round trips on any link between boxes and
+	// is short compared to a caller's timeout.
 	dialTimeout = 400 * time.Millisecond
-	// userTimeout ends a connection whose peer does not acknowledge what was
-	// sent, as a box without power does.
+	// userTimeout closes a connection whose peer does not acknowledge sent data, for example after a power failure
+	// of its box.
 	userTimeout = 2 * time.Second
-	// bufferSize is that of each direction of a connection, in bytes; an event
-	// of a stream takes a few hundred.
+	// bufferSize is the size of the read buffer and of the write buffer of a connection, in bytes. An event of a
+	// stream takes a few hundred bytes.
 	bufferSize = 4 << 10
-	// defaultIdleTimeout is how long a connection is kept unused where the server does
-	// not say.
+	// defaultIdleTimeout is how long a connection may stay idle if the server sends no Keep-Alive timeout.
 	defaultIdleTimeout = 4 * time.Second
-	// maxInlineBody is the size up to which a body is written before the answer is
-	// read, in bytes; it fits the windows of any link.
+	// maxInlineBody is the maximum size of a body that is written before the response is read, in bytes. It fits
+	// into the TCP window of any link. Longer bodies are written while the response is read.
 	maxInlineBody = 16 << 10
-	// maxMismatchedResponses bounds the answers to other requests that are thrown away on
-	// one connection.
+	// maxMismatchedResponses is the maximum number of responses to other requests that are discarded while waiting
+	// for the response to one request.
 	maxMismatchedResponses = 2
 )
 
-// sockoptUserTimeout is TCP_USER_TIMEOUT of Linux (RFC 5482).
+// sockoptUserTimeout is the Linux socket option TCP_USER_TIMEOUT (RFC 5482).
 const sockoptUserTimeout = 0x12
 
-// Options are the parts that a pool works with.
+// Options configures a Pool.
 type Options struct {
 	Clock clockwork.Clock
-	// Matches reports whether an answer belongs to the request with the id.
-	Matches func(answer *http.Response, id string) bool
-	// MaxIdlePerServer bounds the unused connections kept to one server.
+	// Matches reports whether a response belongs to the request with the given ID.
+	Matches func(response *http.Response, id string) bool
+	// MaxIdlePerServer is the maximum number of idle connections to one server.
 	MaxIdlePerServer int
 	// OnConnect is called for each new connection.
 	OnConnect func()
 }
 
-// Pool opens and keeps connections. It is safe for concurrent use.
+// Pool opens connections to servers and reuses idle ones. It is safe for concurrent use.
 type Pool struct {
 	options Options
 	dialer  net.Dialer
@@ -98,15 +94,14 @@
 }
 
 const (
-	// keepAliveInterval is how long a connection on which nothing is sent rests before its peer is
-	// asked for a sign of life, and the time between two such questions.
+	// keepAliveInterval is the idle time before the first TCP keep-alive probe and the time between two probes.
 	keepAliveInterval = time.Second
-	// keepAliveProbes is how many of them stay unanswered on a connection that has gone silent.
+	// keepAliveProbes is the number of unacknowledged probes after which a connection fails.
 	keepAliveProbes = 2
 )
 
-// NewDialer returns a dialer whose connections fail soon after their peer has fallen
-// silent, also while nothing is sent on them. The time-out bounds opening one.
+// NewDialer returns a dialer whose connections fail soon after the peer stops responding, even while they are idle.
+// The timeout applies to opening a connection.
 func NewDialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout, Control: SetUserTimeout,
@@ -114,13 +109,14 @@
 	}
 }
 
-// SetUserTimeout makes a socket fail soon after its peer has fallen silent.
+// SetUserTimeout sets TCP_USER_TIMEOUT on a socket, so that it fails if its peer does not acknowledge sent data within
+// 2 s. It has the signature of net.Dialer.Control.
 func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var problem error
+	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		problem = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, sockoptUserTimeout, int(userTimeout.Milliseconds()))
+		optionErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, sockoptUserTimeout, int(userTimeout.Milliseconds()))
 	})
-	return errors.Join(err, problem)
+	return errors.Join(err, optionErr)
 }
 
 // conn is one connection to a server.
@@ -130,32 +126,33 @@
 	address member.Address
 	reader  *bufio.Reader
 	writer  *bufio.Writer
-	// reusableUntil is when the connection may no longer be taken for another request.
+	// reusableUntil is the time after which the connection must not be reused. It is zero for a connection that has
+	// not been idle yet.
 	reusableUntil time.Time
 }
 
-// Request is one attempt.
+// Request is a request that Send sends once.
 type Request struct {
 	Address member.Address
 	ID      string
 	Method  string
-	// Target is the request target exactly as the caller sent it.
+	// Target is the request target, unchanged from the caller's request.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// BeforeSend is asked once there is a connection, which may take as long as dialTimeout; an error
-	// keeps the request from being sent. nil if it may be sent in any case.
+	// BeforeSend is called once a connection is available, which may take up to dialTimeout. If it returns an error,
+	// the request is not sent. It may be nil.
 	BeforeSend func() error
-	// OnResponse is called with the head of every answer that the server gives while the attempt lasts, also an
-	// interim one and one to another request: what a server says of itself holds whatever becomes of the
-	// request. It must not block nor read the body. nil if nobody listens.
+	// OnResponse is called with the head of every response received during the attempt. This includes interim
+	// responses and responses to other requests, because the signals that a server sends about itself are valid
+	// regardless of the request. It must not block or read the body. It may be nil.
 	OnResponse func(head *http.Response)
 }
 
-// Send makes one attempt and returns the answer's head. The answer must be
-// closed. The context's end resets the connection, also while the body is
-// read. Errors wrap ErrNotSent or ErrNoResponse.
+// Send sends a request once and returns the response as soon as its head has been read. The caller must close the
+// response. When the context is done, the connection is reset, even while the body is being read. Errors wrap
+// ErrNotSent or ErrNoResponse.
 func (p *Pool) Send(ctx context.Context, request *Request) (*Response, error) {
 	c, err := p.acquire(ctx, request.Address)
 	if err != nil {
@@ -165,27 +162,27 @@
 		c.release()
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	answer := &Response{conn: c, writeResult: make(chan error, 1)}
-	answer.stop = context.AfterFunc(ctx, c.reset)
+	response := &Response{conn: c, writeResult: make(chan error, 1)}
+	response.stop = context.AfterFunc(ctx, c.reset)
 	if len(request.Body) <= maxInlineBody {
 		if err := c.write(request); err != nil {
-			answer.Close()
+			response.Close()
 			return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 		}
-		answer.writeResult <- nil
+		response.writeResult <- nil
 	} else {
-		go func() { answer.writeResult <- c.write(request) }()
+		go func() { response.writeResult <- c.write(request) }()
 	}
-	answer.Response, err = c.readMatching(request) //nolint:bodyclose // Answer.Close ends it
+	response.Response, err = c.readMatching(request) //nolint:bodyclose // Answer.Close ends it
 	if err != nil {
-		answer.Close()
+		response.Close()
 		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
-	answer.keepAlive = keepAliveTimeout(answer.Header)
-	return answer, nil
+	response.keepAlive = keepAliveTimeout(response.Header)
+	return response, nil
 }
 
-// beforeSend returns why the request must not be sent; nil if it may.
+// beforeSend returns an error if the context is done or BeforeSend rejects the request.
 func (r *Request) beforeSend(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -196,7 +193,7 @@
 	return r.BeforeSend()
 }
 
-// release ends the use of a connection on which nothing was sent.
+// release returns a reused connection on which nothing was sent to the pool, and closes a new one.
 func (c *conn) release() {
 	if c.reusableUntil.IsZero() {
 		_ = c.Close()
@@ -205,7 +202,7 @@
 	c.pool.putIdle(c)
 }
 
-// acquire returns a kept connection that is still sound, else a new one.
+// acquire returns an idle connection that is still reusable, or opens a new one.
 func (p *Pool) acquire(ctx context.Context, address member.Address) (*conn, error) {
 	for {
 		c := p.popIdle(address)
@@ -220,8 +217,8 @@
 	return p.open(ctx, address)
 }
 
-// Probe opens a connection to a server, which is kept for the next request. An error of ECONNREFUSED tells that
-// nothing listens there.
+// Probe opens a connection to a server and keeps it for the next request. The error wraps syscall.ECONNREFUSED if no
+// process listens on the address.
 func (p *Pool) Probe(ctx context.Context, address member.Address) error {
 	c, err := p.open(ctx, address)
 	if err != nil {
@@ -232,7 +229,7 @@
 	return nil
 }
 
-// open opens a connection.
+// open opens a connection and calls OnConnect.
 func (p *Pool) open(ctx context.Context, address member.Address) (*conn, error) {
 	raw, err := p.dialer.DialContext(ctx, "tcp", string(address))
 	if err != nil {
@@ -250,16 +247,17 @@
 func (p *Pool) popIdle(address member.Address) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[address]
-	if len(kept) == 0 {
+	idle := p.idle[address]
+	if len(idle) == 0 {
 		return nil
 	}
-	c := kept[len(kept)-1]
-	p.idle[address] = kept[:len(kept)-1]
+	c := idle[len(idle)-1]
+	p.idle[address] = idle[:len(idle)-1]
 	return c
 }
 
-// putIdle takes a connection back whose answer was read to its end.
+// putIdle adds a reusable connection to the pool, or closes it if the pool has MaxIdlePerServer connections to its
+// server.
 func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -270,31 +268,30 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// CloseIdle closes the kept connections to an address whose server has gone.
+// CloseIdle closes the idle connections to an address. It is called when the server at the address is removed.
 func (p *Pool) CloseIdle(address member.Address) {
 	p.mu.Lock()
-	kept := p.idle[address]
+	idle := p.idle[address]
 	delete(p.idle, address)
 	p.mu.Unlock()
-	for _, c := range kept {
+	for _, c := range idle {
 		_ = c.Close()
 	}
 }
 
-// reset ends the connection with an attempt that is given up. What was written and has not left the
-// box goes too, and what a link holds if it drops a connection that is reset: after a close in order
-// the server would get all of it, and begin what nobody waits for any more, or what must not begin as late
-// as that. What the server's box has received stays there.
+// reset closes the connection of an abandoned attempt with a TCP reset. The reset discards data that has not left the
+// box yet, and data on a link that drops connections when they are reset. After an orderly close the server would
+// receive all of it, and start a request that has no caller any more or that must not start so late. Data that the
+// server's box has already received is not discarded.
 func (c *conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		// If it fails the connection has ended already.
+		// An error means that the connection is already closed.
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// isReusable reports whether the server has neither closed the connection nor sent
-// anything on it since the last answer.
+// isReusable reports whether the connection is open and the server has sent nothing on it since the last response.
 func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -303,14 +300,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	open := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
-		_, _, problem := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(problem, syscall.EAGAIN)
+		_, _, peekErr := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		open = errors.Is(peekErr, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && open
 }
 
 func (c *conn) write(request *Request) error {
@@ -326,14 +323,15 @@
 		_, _ = w.WriteString(strconv.Itoa(len(request.Body)))
 		_, _ = w.WriteString("\r\n")
 	}
-	// The writer keeps its first error and gives it again at the end.
+	// The writer keeps its first error, which Flush returns.
 	_ = request.Header.Write(w)
 	_, _ = w.WriteString("\r\n")
 	_, _ = w.Write(request.Body)
 	return w.Flush()
 }
 
-// readMatching reads the answer to the request, past answers to other ones.
+// readMatching returns the response to the request. It discards up to maxMismatchedResponses responses to other
+// requests.
 func (c *conn) readMatching(request *Request) (*http.Response, error) {
 	for range maxMismatchedResponses + 1 {
 		response, err := c.readFinal(request)
@@ -344,13 +342,13 @@
 			return response, nil
 		}
 		if err := drain(response); err != nil {
-			return nil, fmt.Errorf("reading an answer to another request: %w", err)
+			return nil, fmt.Errorf("discarding a response to another request: %w", err)
 		}
 	}
-	return nil, errors.New("every answer belonged to another request")
+	return nil, errors.New("too many responses to other requests")
 }
 
-// readFinal reads past interim answers (RFC 9110, section 15.2).
+// readFinal reads responses until one is not interim (RFC 9110, section 15.2).
 func (c *conn) readFinal(request *Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: request.Method})
@@ -366,8 +364,8 @@
 	}
 }
 
-// keepAliveTimeout reads how long the server leaves the connection open, and takes four
-// fifths of it, so that a request does not cross its close.
+// keepAliveTimeout returns four fifths of the timeout in the Keep-Alive header, or defaultIdleTimeout if there is none.
+// The margin prevents the server from closing the connection while a request is on its way.
 func keepAliveTimeout(header http.Header) time.Duration {
 	for value := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, text, _ := strings.Cut(strings.TrimSpace(value), "=")
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -18,7 +18,7 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// startRawServer answers each connection with a function.
+// startRawServer starts a TCP server that calls serve for each connection.
 func startRawServer(t *testing.T, serve func(conn net.Conn, reader *bufio.Reader)) member.Address {
 	t.Helper()
 	var config net.ListenConfig
@@ -43,20 +43,20 @@
 func newTestPool(opened *atomic.Int32) *Pool {
 	return NewPool(Options{
 		Clock: clockwork.NewRealClock(), MaxIdlePerServer: 4, OnConnect: func() { opened.Add(1) },
-		Matches: func(answer *http.Response, id string) bool { return answer.Header.Get("Id") == id },
+		Matches: func(response *http.Response, id string) bool { return response.Header.Get("Id") == id },
 	})
 }
 
 func send(t *testing.T, pool *Pool, address member.Address, id string) (string, error) {
 	t.Helper()
-	answer, err := pool.Send(context.Background(), &Request{
+	response, err := pool.Send(context.Background(), &Request{
 		Address: address, ID: id, Method: http.MethodPost, Target: "/x", Host: "a.example", Header: http.Header{"Id": {id}}, Body: []byte("body"),
 	})
 	if err != nil {
 		return "", err
 	}
-	defer answer.Close()
-	body, err := io.ReadAll(answer)
+	defer response.Close()
+	body, err := io.ReadAll(response)
 	return string(body), err
 }
 
@@ -105,7 +105,7 @@
 					return
 				}
 				requests.Add(1)
-				// "before": the late answer comes where the next one is due.
+				// "before": the duplicate response arrives before the response to the next request.
 				if extra == "before" && previous != "" {
 					_, _ = io.WriteString(conn, responseTo(previous, "late"))
 				}
@@ -124,7 +124,7 @@
 			require.NoError(t, err)
 			require.Equal(t, "own "+id, body)
 		}
-		require.EqualValues(t, 5, requests.Load(), "nothing is sent twice")
+		require.EqualValues(t, 5, requests.Load(), "no request is sent twice")
 	}
 }
 
@@ -181,8 +181,8 @@
 	}
 }
 
-// A server may answer before it has read a long body. What is sent next on such a
-// connection would be taken for the rest of it.
+// A server may respond before it has read a long request body. If the connection is reused, the server reads the next
+// request as the rest of that body.
 func TestConnectionWithUnreadRequestBodyIsNotReused(t *testing.T) {
 	address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		request, err := http.ReadRequest(reader)
@@ -190,7 +190,7 @@
 			return
 		}
 		_, _ = io.WriteString(conn, responseTo(request.Header.Get("Id"), "early"))
-		// The body is never read; the connection stays open.
+		// The rest of the body is never read, and the connection stays open.
 		_, _ = io.Copy(io.Discard, io.LimitReader(conn, 1))
 		select {}
 	})
@@ -199,13 +199,13 @@
 	body := []byte(strings.Repeat("x", 8<<20))
 	for i := range 2 {
 		id := fmt.Sprint(i)
-		answer, err := pool.Send(context.Background(), &Request{
+		response, err := pool.Send(context.Background(), &Request{
 			Address: address, ID: id, Method: http.MethodPost, Target: "/x", Host: "a", Header: http.Header{"Id": {id}}, Body: body,
 		})
 		require.NoError(t, err)
-		_, err = io.ReadAll(answer)
+		_, err = io.ReadAll(response)
 		require.NoError(t, err)
-		answer.Close()
+		response.Close()
 	}
 	require.EqualValues(t, 2, opened.Load())
 }
@@ -227,8 +227,8 @@
 	}
 }
 
-// The server says how long it leaves the connection open; that holds also when the
-// headers of the answer have been changed for the caller meanwhile.
+// The Keep-Alive timeout of a response must apply even if the header has been removed from the response before it is
+// closed. Otherwise a request is sent on a connection that the server is about to close.
 func TestConnectionIsNotReusedAfterKeepAliveTimeout(t *testing.T) {
 	address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
@@ -246,20 +246,20 @@
 	for i, wait := range []time.Duration{0, 500 * time.Millisecond, 900 * time.Millisecond} {
 		clock.Advance(wait)
 		id := fmt.Sprint(i)
-		answer, err := pool.Send(context.Background(), &Request{
+		response, err := pool.Send(context.Background(), &Request{
 			Address: address, ID: id, Method: http.MethodGet, Target: "/", Host: "a", Header: http.Header{"Id": {id}},
 		})
 		require.NoError(t, err)
-		RemoveHopByHopHeaders(answer.Header)
-		_, err = io.ReadAll(answer)
+		RemoveHopByHopHeaders(response.Header)
+		_, err = io.ReadAll(response)
 		require.NoError(t, err)
-		answer.Close()
+		response.Close()
 	}
-	require.EqualValues(t, 2, opened.Load(), "used again after 0.5 s, not after 0.9 s of the 1 s given")
+	require.EqualValues(t, 2, opened.Load(), "timeout is 1 s: reused after 0.5 s, not reused after 0.9 s")
 }
 
-// An answer to another request was read to its end, however long it was, while the caller waited
-// for its own.
+// A response to another request must not be read to its end regardless of its length, because the caller waits
+// meanwhile.
 func TestLongMismatchedResponseClosesConnection(t *testing.T) {
 	address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		id, err := readRequest(reader)
@@ -275,8 +275,8 @@
 	require.ErrorIs(t, err, errMismatchedTooLong)
 }
 
-// An attempt that had been given up before it was sent went out all the same if there was a kept
-// connection, and counted as one that may have run.
+// A request whose context is canceled before it is sent must not be sent on an idle connection. Otherwise it counts as
+// one that may have run.
 func TestCanceledRequestIsNotSentOnIdleConnection(t *testing.T) {
 	var served atomic.Int32
 	address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
@@ -300,10 +300,11 @@
 		require.ErrorIs(t, err, ErrNotSent)
 	}
 	require.EqualValues(t, 20, served.Load())
-	require.EqualValues(t, 1, opened.Load(), "the connection is still good")
+	require.EqualValues(t, 1, opened.Load(), "the idle connection stays reusable")
 }
 
-// What a server says of itself was read from the answer to the own request alone.
+// Signals of a server must also be read from interim responses and from responses to other requests. Otherwise they
+// are lost if they are sent only there.
 func TestOnResponseIsCalledForEveryResponse(t *testing.T) {
 	address := startRawServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		_, _ = http.ReadRequest(reader)
@@ -315,14 +316,14 @@
 			_, _ = io.WriteString(conn, head)
 		}
 	})
-	var heard []string
-	answer, err := newTestPool(new(atomic.Int32)).Send(t.Context(), &Request{
+	var received []string
+	response, err := newTestPool(new(atomic.Int32)).Send(t.Context(), &Request{
 		Address: address, ID: "a", Method: http.MethodGet, Target: "/x", Host: "a.example",
-		OnResponse: func(head *http.Response) { heard = append(heard, head.Header.Get("Word")) },
+		OnResponse: func(head *http.Response) { received = append(received, head.Header.Get("Word")) },
 	})
 	require.NoError(t, err)
-	defer answer.Close()
-	_, err = io.ReadAll(answer)
-	require.Error(t, err, "the body breaks off")
-	require.Equal(t, []string{"interim", "another's", "own"}, heard)
+	defer response.Close()
+	_, err = io.ReadAll(response)
+	require.Error(t, err, "the body is truncated")
+	require.Equal(t, []string{"interim", "another's", "own"}, received)
 }
