--- a/internal/direct/agentfollower.go
+++ b/internal/direct/agentfollower.go
@@ -17,39 +17,40 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// AgentFollower follows the agents beside the model servers.
+// AgentFollower follows the status streams of the agents that run beside the backend servers of the own cell.
 type AgentFollower struct {
 	fleetState *FleetState
 	suspects   *SuspectRequests
 	peers      *daemon.PeerPool
-	// entries tell which servers are those of the own cell.
+	// entries supplies the plan that determines the servers of the own cell.
 	entries *EntryBoxes
 	clock   clockwork.Clock
 	log     zerolog.Logger
 	tasks   *kernel.TaskGroup
 	self    string
 	port    uint16
-	// onState is called with what an agent tells of the server at an address.
+	// onState is called with the state that an agent reports for the server at an address.
 	onState func(address member.Address, state route.ServerState, now time.Time)
 }
 
-// startAgentFollower follows the agents.
+// startAgentFollower starts to follow the agents.
 func (p *Process) startAgentFollower() error {
-	m := &AgentFollower{
+	a := &AgentFollower{
 		fleetState: p.fleetState, suspects: p.suspects, peers: p.peers, entries: p.entries, clock: p.options.Clock, log: p.options.Log, tasks: kernel.NewTaskGroup(),
 		self: p.settings.Box, port: uint16(p.settings.Direct.AgentPort), onState: p.callerServer.UpdateServerState,
 	}
-	m.tasks.Go(m.followAll)
-	return p.services.Register(m)
+	a.tasks.Go(a.followAll)
+	return p.services.Register(a)
 }
 
 // String returns the service's name.
-func (m *AgentFollower) String() string { return "model-servers" }
+func (a *AgentFollower) String() string { return "model-servers" }
 
-// Stop ends following.
-func (m *AgentFollower) Stop(ctx context.Context) error { return m.tasks.Stop(ctx) }
+// Stop ends all streams.
+func (a *AgentFollower) Stop(ctx context.Context) error { return a.tasks.Stop(ctx) }
 
-// agentAddress is where the agent beside a backend server is reached.
+// agentAddress returns the address of the agent beside a backend server, and false if the server's address
+// cannot be parsed.
 func agentAddress(server member.Address, port uint16) (member.Address, bool) {
 	address, err := netip.ParseAddrPort(string(server))
 	if err != nil {
@@ -58,21 +59,21 @@
 	return member.Address(netip.AddrPortFrom(address.Addr(), port).String()), true
 }
 
-// followAll keeps a duty for each model server of the list.
-func (m *AgentFollower) followAll(ctx context.Context) {
+// followAll runs a task for the agent of each server of the own cell, until the context ends.
+func (a *AgentFollower) followAll(ctx context.Context) {
 	following := make(map[member.Address]context.CancelFunc)
 	for {
-		changed, replanned := m.fleetState.Changed(), m.entries.Replanned()
-		listed := m.cellServers()
-		for address := range listed {
+		changed, replanned := a.fleetState.Changed(), a.entries.Replanned()
+		servers := a.cellServers()
+		for address := range servers {
 			if following[address] == nil {
 				followCtx, cancel := context.WithCancel(ctx)
 				following[address] = cancel
-				m.tasks.Go(func(context.Context) { m.follow(followCtx, address) })
+				a.tasks.Go(func(context.Context) { a.follow(followCtx, address) })
 			}
 		}
 		for address, cancel := range following {
-			if !listed[address] {
+			if !servers[address] {
 				cancel()
 				delete(following, address)
 			}
@@ -89,45 +90,46 @@
 	}
 }
 
-// cellServers returns the addresses of the model servers of the own cell.
-func (m *AgentFollower) cellServers() map[member.Address]bool {
-	view, plan := m.fleetState.View(), m.entries.currentPlan()
-	listed := make(map[member.Address]bool)
+// cellServers returns the addresses of the own cell's servers, for services with an engine.
+func (a *AgentFollower) cellServers() map[member.Address]bool {
+	view, plan := a.fleetState.View(), a.entries.currentPlan()
+	addresses := make(map[member.Address]bool)
 	for _, service := range view.Services() {
 		if service.Engine == nil {
 			continue
 		}
 		for _, server := range plan.ownServers(view.Servers(service.Name)) {
-			listed[server.Address] = true
+			addresses[server.Address] = true
 		}
 	}
-	return listed
+	return addresses
 }
 
-// follow takes the states that one agent tells.
-func (m *AgentFollower) follow(ctx context.Context, server member.Address) {
-	agent, ok := agentAddress(server, m.port)
+// follow follows one agent until the context ends, and reports its server as silent when a stream
+// that had messages falls silent.
+func (a *AgentFollower) follow(ctx context.Context, server member.Address) {
+	agent, ok := agentAddress(server, a.port)
 	if !ok {
-		m.log.Error().Str("address", string(server)).Msg("server's address has no IP address and port")
+		a.log.Error().Str("address", string(server)).Msg("server address is not an IP address with a port; not following its agent")
 		return
 	}
 	for ctx.Err() == nil {
-		heard, err := m.followOnce(ctx, server, agent)
-		if heard && errors.Is(err, errSilent) && ctx.Err() == nil {
-			m.onState(server, route.ServerState{Silent: true}, m.clock.Now())
+		received, err := a.followOnce(ctx, server, agent)
+		if received && errors.Is(err, errSilent) && ctx.Err() == nil {
+			a.onState(server, route.ServerState{Silent: true}, a.clock.Now())
 		}
-		sleep(ctx, m.clock, followRetryDelay)
+		sleep(ctx, a.clock, followRetryDelay)
 	}
 }
 
-// followOnce follows an agent until its stream ends, and tells whether it was heard.
-func (m *AgentFollower) followOnce(ctx context.Context, server, agent member.Address) (heard bool, err error) {
-	// The agent's box is named by its first message only.
-	box, told := "", agentReport{}
-	return followStream(ctx, m.clock, m.peers, m.log, &peerStream[*wire.ServerStatus]{
+// followOnce follows an agent until its stream ends, and reports whether any message was received.
+func (a *AgentFollower) followOnce(ctx context.Context, server, agent member.Address) (received bool, err error) {
+	// Only the first message names the agent's box.
+	box, lastReport := "", agentReport{}
+	return followStream(ctx, a.clock, a.peers, a.log, &peerStream[*wire.ServerStatus]{
 		dependency: "agent", address: agent,
 		open: func(ctx context.Context, client wire.DRPCFleetClient) (func() (*wire.ServerStatus, error), error) {
-			stream, err := client.Server(ctx, &wire.FollowRequest{Box: m.self})
+			stream, err := client.Server(ctx, &wire.FollowRequest{Box: a.self})
 			if err != nil {
 				return nil, err
 			}
@@ -137,21 +139,21 @@
 			if box == "" {
 				box = status.Box
 			}
-			m.fleetState.MergeVersionAges(agesFromWire(status.Ages), box)
-			m.suspects.MergeEvidence(evidenceFromWire(status.Evidence, m.clock.Now()), box)
-			if word := (agentReport{member.Incarnation(status.Incarnation), status.Leaving}); word.leaving || word != told {
-				// One that leaves is told again, as its entry may have come later.
-				told = word
-				m.fleetState.MergeAgentReport(server, word.incarnation, word.leaving, box)
+			a.fleetState.MergeVersionAges(agesFromWire(status.Ages), box)
+			a.suspects.MergeEvidence(evidenceFromWire(status.Evidence, a.clock.Now()), box)
+			if report := (agentReport{member.Incarnation(status.Incarnation), status.Leaving}); report.leaving || report != lastReport {
+				// A departure is merged at each message, because the server's entry may arrive later.
+				lastReport = report
+				a.fleetState.MergeAgentReport(server, report.incarnation, report.leaving, box)
 			}
-			m.onState(server, serverStateFromWire(status, m.clock.Now()), m.clock.Now())
+			a.onState(server, serverStateFromWire(status, a.clock.Now()), a.clock.Now())
 		},
 		regainedFields: func(line *zerolog.Event, first *wire.ServerStatus) { line.Str("box", first.Box) },
 		lostFields:     func(line *zerolog.Event, err error) { line.Str("box", box).Bool("silent", errors.Is(err, errSilent)) },
 	})
 }
 
-// agentReport is which start of a server its agent hears, and whether that leaves.
+// agentReport is the incarnation of a server that its agent reports, and whether it is leaving.
 type agentReport struct {
 	incarnation member.Incarnation
 	leaving     bool
--- a/internal/direct/cells.go
+++ b/internal/direct/cells.go
@@ -11,16 +11,16 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// cellPlan is how the fleet is divided, as this box sees it. Boxes that see it differently for a
-// while share some servers without knowing of each other; what the agents report of their
-// servers then counts (route.Dispatcher).
+// cellPlan is the division of the fleet into cells, in the current view of this box. While the views of two boxes
+// differ, the boxes may use the same servers without exchanging their load; route.Dispatcher then relies on the
+// load that the agents report.
 type cellPlan struct {
-	count, ownCell int
-	// cellByBox are the cells of all entry boxes, mates the other entry boxes of the own cell.
+	cellCount, ownCell int
+	// cellByBox maps every entry box to its cell; cellPeers is the set of other entry boxes in the own cell.
 	cellByBox map[member.BoxID]int
 	cellPeers map[member.BoxID]bool
-	// cellByServer are the cells of the servers that are divided, by address; those that are not in
-	// it are shared by all cells.
+	// cellByServer maps the addresses of divided servers to their cells. All cells share the servers that are not
+	// in it.
 	cellByServer map[member.Address]int
 }
 
@@ -33,44 +33,45 @@
 	return !divided || cell == p.ownCell
 }
 
-// relaySources returns the boxes of other cells whom this one follows to tell its own cell whom they have sent away. A box is
-// followed by one of each cell whose number differs from its own in one bit, of its own region where there is one.
+// relaySources returns the boxes of other cells whose rejected callers this box relays to its own cell, with their
+// relay dimension. Each box is followed by one box of every cell whose number differs from its own in exactly one
+// bit, preferably by one of its own region.
 func (p *cellPlan) relaySources(self member.BoxID, up []member.Record) map[member.Address]route.RelayDimension {
-	if p.count == 1 {
+	if p.cellCount == 1 {
 		return nil
 	}
-	var cell []member.BoxID
+	var cellBoxes []member.BoxID
 	inRegion := make(map[member.Region][]member.BoxID)
 	for i := range up {
 		if box := up[i].Box; p.cellPeers[box] || box == self {
-			cell = append(cell, box)
+			cellBoxes = append(cellBoxes, box)
 			inRegion[up[i].Region] = append(inRegion[up[i].Region], box)
 		}
 	}
-	relayed := make(map[member.Address]route.RelayDimension)
+	sources := make(map[member.Address]route.RelayDimension)
 	for i := range up {
-		other, known := p.cellByBox[up[i].Box]
-		differ := uint(other ^ p.ownCell)
-		if !known || bits.OnesCount(differ) != 1 {
+		cell, known := p.cellByBox[up[i].Box]
+		diff := uint(cell ^ p.ownCell)
+		if !known || bits.OnesCount(diff) != 1 {
 			continue
 		}
 		candidates := inRegion[up[i].Region]
 		if len(candidates) == 0 {
-			candidates = cell
+			candidates = cellBoxes
 		}
-		if first := member.Rank("relay "+string(up[i].Box), candidates, 1); len(first) > 0 && first[0] == self {
-			relayed[up[i].Peers] = route.RelayDimension(bits.Len(differ))
+		if ranked := member.Rank("relay "+string(up[i].Box), candidates, 1); len(ranked) > 0 && ranked[0] == self {
+			sources[up[i].Peers] = route.RelayDimension(bits.Len(diff))
 		}
 	}
-	return relayed
+	return sources
 }
 
-// ownServers returns those servers that the own cell uses.
+// ownServers returns the servers that the own cell uses, with rate limits reduced to the cell's share.
 func (p *cellPlan) ownServers(servers []fleet.Server) []fleet.Server {
-	if p == nil || p.count == 1 {
+	if p == nil || p.cellCount == 1 {
 		return servers
 	}
-	owned := make([]fleet.Server, 0, len(servers)/p.count+1)
+	owned := make([]fleet.Server, 0, len(servers)/p.cellCount+1)
 	for i := range servers {
 		server := servers[i]
 		if !p.usesServer(server.Address) {
@@ -87,15 +88,15 @@
 	return owned
 }
 
-// minCellRate is the smallest share, in requests per second, that a rate limit is divided into. Cells do not report requests to each
-// other, so each may send one request in addition to its share.
+// minCellRate is the smallest share, in requests per second, that a rate limit is divided into. Cells do not
+// report requests to each other, so each may send one request in addition to its share.
 const minCellRate = 2
 
-// limitShare returns this cell's share of the rate limit of a server that all cells use; ok is false if it has none. If the limit is
-// too low for all cells, rendezvous hashing by server ID selects the cells that share it.
+// limitShare returns this cell's share of the rate limit of a server that all cells use; ok is false if it has
+// none. If the limit is too low for all cells, rendezvous hashing by server ID selects the cells that share it.
 func (p *cellPlan) limitShare(server *fleet.Server) (share fleet.RateLimit, ok bool) {
-	sharing := max(1, min(p.count, int(min(server.Limit.PerSecond/minCellRate, float64(p.count)))))
-	cells := make([]string, p.count)
+	sharing := max(1, min(p.cellCount, int(min(server.Limit.PerSecond/minCellRate, float64(p.cellCount)))))
+	cells := make([]string, p.cellCount)
 	for cell := range cells {
 		cells[cell] = strconv.Itoa(cell)
 	}
@@ -105,10 +106,10 @@
 	return fleet.RateLimit{Set: true, PerSecond: server.Limit.PerSecond / float64(sharing)}, true
 }
 
-// planCells divides the entry boxes and the servers of a view.
+// planCells divides the entry boxes and the servers of a view into cells, separately for each region.
 func planCells(self member.BoxID, boxes []member.Record, view *fleet.View, regionOf func(member.FailureDomain) member.Region) *cellPlan {
 	cells := member.CellCount(len(boxes), largestServiceSize(view, len(boxes)))
-	plan := &cellPlan{count: cells, cellPeers: make(map[member.BoxID]bool), cellByServer: make(map[member.Address]int)}
+	plan := &cellPlan{cellCount: cells, cellPeers: make(map[member.BoxID]bool), cellByServer: make(map[member.Address]int)}
 	assigned := make(map[member.BoxID]int, len(boxes))
 	for _, region := range byRegion(boxes, func(r *member.Record) (member.Region, member.BoxID) { return r.Region, r.Box }) {
 		maps.Copy(assigned, member.AssignCells(region, cells))
@@ -127,16 +128,16 @@
 		if !member.IsDivisible(len(servers), cells) {
 			continue
 		}
-		where := func(s *fleet.Server) (member.Region, member.Address) { return regionOf(s.Domain), s.Address }
-		for _, region := range byRegion(servers, where) {
+		keyOf := func(s *fleet.Server) (member.Region, member.Address) { return regionOf(s.Domain), s.Address }
+		for _, region := range byRegion(servers, keyOf) {
 			maps.Copy(plan.cellByServer, member.AssignCells(region, cells))
 		}
 	}
 	return plan
 }
 
-// largestServiceSize is how many servers the largest service has that runs models. Until a
-// configuration is known there are taken to be enough to divide the fleet by its boxes alone.
+// largestServiceSize returns the number of servers of the largest service with an engine. Before a configuration
+// is known, it returns the number of boxes, so that the number of boxes alone determines the division.
 func largestServiceSize(view *fleet.View, boxes int) int {
 	if view.Configuration == nil {
 		return boxes
@@ -150,7 +151,7 @@
 	return largest
 }
 
-// byRegion groups keys by region, in the order of the regions' names.
+// byRegion groups keys by region. The groups are sorted by the name of the region.
 func byRegion[T any, K ~string](all []T, keyOf func(*T) (member.Region, K)) [][]K {
 	groups := make(map[member.Region][]K)
 	for i := range all {
@@ -164,24 +165,25 @@
 	return ordered
 }
 
-// planInput is what a plan was made from.
+// planInput is the input of planCells.
 type planInput struct {
 	boxes []member.Record
-	// services are the servers of each service.
+	// services holds the servers of each service.
 	services   [][]fleet.Server
 	configured bool
 }
 
-// isEqual reports whether nothing has changed. Views share the slices that stay as they were.
+// isEqual reports whether two inputs are equal. It compares slices by identity, because views share unchanged slices.
 func (p *planInput) isEqual(other *planInput) bool {
 	return p.configured == other.configured && isSameSlice(p.boxes, other.boxes) && slices.EqualFunc(p.services, other.services, isSameSlice)
 }
 
+// isSameSlice reports whether two slices have the same length and the same underlying array.
 func isSameSlice[T any](a, b []T) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// replan divides the fleet anew if it has changed.
+// replan updates the plan if its input has changed.
 func (e *EntryBoxes) replan() {
 	view := e.fleetState.View()
 	input := planInput{boxes: e.membership.All(), configured: view.Configuration != nil}
@@ -195,29 +197,29 @@
 	}
 	before := e.plan
 	e.plan, e.planInput = planCells(e.self.Box, input.boxes, view, e.regionOf), input
-	if before == nil || before.count != e.plan.count || before.ownCell != e.plan.ownCell {
-		e.log.Info().Int("boxes", len(input.boxes)).Int("cells", e.plan.count).Int("cell", e.plan.ownCell).Int("mates", len(e.plan.cellPeers)).Msg("fleet divided")
+	if before == nil || before.cellCount != e.plan.cellCount || before.ownCell != e.plan.ownCell {
+		e.log.Info().Int("boxes", len(input.boxes)).Int("cells", e.plan.cellCount).Int("cell", e.plan.ownCell).Int("mates", len(e.plan.cellPeers)).Msg("fleet divided")
 	}
 	close(e.replanned)
 	e.replanned = make(chan struct{})
 }
 
-// currentPlan returns how the fleet is divided; nil until that is known.
+// currentPlan returns the plan, nil before the first one.
 func (e *EntryBoxes) currentPlan() *cellPlan {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.plan
 }
 
-// Replanned returns a channel that is closed when the fleet is divided anew.
+// Replanned returns a channel that is closed at the next change of the plan.
 func (e *EntryBoxes) Replanned() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.replanned
 }
 
-// CellSize is how many entry boxes share the servers of the cell, with this one, as far as
-// they are heard.
+// CellSize returns the number of entry boxes in the own cell: this one and those that have sent a status within
+// statusTimeout.
 func (e *EntryBoxes) CellSize() int {
 	plan, boxes := e.currentPlan(), 1
 	if plan == nil {
--- a/internal/direct/cells_bench_test.go
+++ b/internal/direct/cells_bench_test.go
@@ -14,54 +14,54 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// benchmarkFleets are the sizes at which what one box spends on control is worked out.
+// benchmarkFleets are the fleet sizes of the benchmarks.
 var benchmarkFleets = []struct{ boxes, servers int }{{30, 60}, {300, 1500}, {2200, 12000}}
 
-// BenchmarkControlTraffic gives whom one entry box follows, and what it sends and takes in a second for
-// control, with one change in each interval of telling. In
-// full mesh that was 365, 1,799 and 14,199 followed.
+// BenchmarkControlTraffic reports the number of processes that one entry box follows and the bytes of status
+// messages that it sends per second, with one change of its load in each status interval. In a full mesh, the box
+// followed 365, 1,799 and 14,199 processes.
 func BenchmarkControlTraffic(b *testing.B) {
 	for _, size := range benchmarkFleets {
 		b.Run(fmt.Sprintf("boxes=%d/servers=%d", size.boxes, size.servers), func(b *testing.B) {
 			records, view := newFleet(size.boxes, size.servers)
-			facts, clock := newTestFleetState()
-			e := newTestEntryBoxes(facts)
+			fleetState, clock := newTestFleetState()
+			e := newTestEntryBoxes(fleetState)
 			e.self, e.membership, e.regionOf, e.replanned = records[0], newTestMembership(clock, records[0].Box), sameRegion, make(chan struct{})
 			e.membership.Merge(recordItems(b, records...), "")
-			facts.view.Store(view)
+			fleetState.view.Store(view)
 			e.replan()
-			mates, all := len(e.plan.cellPeers), len(e.subscriptions())
+			cellPeers, all := len(e.plan.cellPeers), len(e.subscriptions())
 			agents := len(e.plan.ownServers(view.Servers("llm")))
 			bytes := 0
 			for b.Loop() {
-				bytes = statusBytesPerSecond(mates)
+				bytes = statusBytesPerSecond(cellPeers)
 			}
-			b.ReportMetric(float64(mates), "mates")
-			b.ReportMetric(float64(all-mates), "neighbours")
+			b.ReportMetric(float64(cellPeers), "mates")
+			b.ReportMetric(float64(all-cellPeers), "neighbours")
 			b.ReportMetric(float64(agents), "agents")
 			b.ReportMetric(float64(bytes), "sent-bytes/s")
 		})
 	}
 }
 
-// statusBytesPerSecond is what a box tells the others of its cell in a second: in each interval one
-// request is sent to a server, begins or ends there.
-func statusBytesPerSecond(mates int) int {
-	told := statusCursor{fullStatus: func() *wire.EntryStatus { return &wire.EntryStatus{} }}
+// statusBytesPerSecond returns the bytes of status messages that a box sends to its cell peers per second, with
+// one request sent to a server in each status interval.
+func statusBytesPerSecond(cellPeers int) int {
+	cursor := statusCursor{fullStatus: func() *wire.EntryStatus { return &wire.EntryStatus{} }}
 	now, load, sent := time.Unix(1000, 0), make(route.Load), 0
 	for tick := range int(time.Second / statusInterval) {
 		now, load = now.Add(statusInterval), maps.Clone(load)
 		id := fleet.ServerID(fmt.Sprintf("i-%010x", tick%8))
 		load[id] = route.ServerLoad{Requests: load[id].Requests + 1, Prefill: time.Duration(tick) * time.Millisecond}
-		if message := told.nextMessage(statusSummary{ready: true}, load, route.Demands{"llm": {Arrivals: tick}}, now, false); message != nil {
+		if message := cursor.nextMessage(statusSummary{ready: true}, load, route.Demands{"llm": {Arrivals: tick}}, now, false); message != nil {
 			sent += proto.Size(message)
 		}
 	}
-	return sent * mates
+	return sent * cellPeers
 }
 
-// BenchmarkPlanCells divides the fleet, as each box does when a server or another box comes or
-// goes.
+// BenchmarkPlanCells measures the division of the fleet into cells, which each box repeats when a server or
+// another box is added or removed.
 func BenchmarkPlanCells(b *testing.B) {
 	for _, size := range benchmarkFleets {
 		b.Run(fmt.Sprintf("boxes=%d/servers=%d", size.boxes, size.servers), func(b *testing.B) {
--- a/internal/direct/direct.go
+++ b/internal/direct/direct.go
@@ -1,23 +1,22 @@
-// Package direct holds the services of processes in direct mode, in which entry
-// boxes connect straight to the backend servers of a platform.
+// Package direct implements the services of processes in direct mode. In this mode, entry boxes connect directly
+// to the backend servers of a platform.
 //
 // # Entry box
 //
-//	facts      what the platform's store and other entry boxes tell
-//	members    who is there, as the entry boxes tell each other
-//	peers      follows those of the own cell, for what they have in flight, and some neighbours
-//	servers    follows the agents of the cell: what each backend server has loaded and runs
-//	front      answers callers
-//	directory  tells callers which entry boxes to use, and the platform if this one is ready
+//	FleetState     merges facts from the platform's store and from other entry boxes
+//	Membership     holds the records of all entry boxes, which the boxes exchange
+//	StatusServer   streams the status and the facts of the box to other processes
+//	CallerServer   serves callers
+//	EntryBoxes     follows the boxes of the own cell for their load, and some neighbours
+//	AgentFollower  follows the agents of the own cell for the state of each backend server
+//	Directory      resolves callers to entry boxes, and serves readiness probes
 //
 // # Agent
 //
-//	facts      follows an entry box
-//	loader     brings the wanted weights to the backend server of the box
-//	status     reads the backend server's state for the entry boxes
+//	FleetState     merges facts from the entry box that the agent follows
+//	Loader         downloads and loads desired weights for the backend server of the box, and reports the server's state
 //
-// Nothing here knows the platform's names: they are in provider.Direct, which the
-// program fills.
+// The package has no names of a specific platform: the caller of Start supplies them in a provider.DirectPlatform.
 //
 // # Usage
 //
@@ -45,16 +44,16 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// Options are what a process gets from outside its settings.
+// Options are the parts of a process that the settings do not define.
 type Options struct {
 	Clock    clockwork.Clock
 	Log      zerolog.Logger
 	Platform provider.DirectPlatform
-	// LogQueue is where the log goes, if its losses are to be counted.
+	// LogQueue is the queue that Log writes to. If it is set, dropped lines are counted.
 	LogQueue *daemon.LogQueue
 }
 
-// Process is one running role.
+// Process is a running process in the role of an entry box or an agent.
 type Process struct {
 	services     *kernel.Registry
 	settings     *settings.Settings
@@ -70,7 +69,7 @@
 	status       *StatusServer
 }
 
-// step starts one part of a process.
+// step is one step of starting a process.
 type step struct {
 	name string
 	run  func(p *Process) error
@@ -98,7 +97,8 @@
 	}
 )
 
-// Start runs the steps of a role. If one fails, what was started is stopped.
+// Start starts the services of the role in the settings. If one fails to start, Start stops the others and returns
+// the error.
 func Start(loaded *settings.Settings, options Options) (*Process, error) {
 	p := &Process{
 		services: kernel.New(), settings: loaded, options: options,
@@ -125,8 +125,8 @@
 	return p, nil
 }
 
-// Stop is a planned stop: callers are led elsewhere first, then what is in
-// progress is finished, within the grace of the settings.
+// Stop stops the process as planned, within the grace period of the settings. It first directs callers to other
+// boxes, then finishes the requests in progress and stops all services.
 func (p *Process) Stop(ctx context.Context) error {
 	grace := time.Duration(p.settings.Stop.Grace) - stopReserve
 	stopCtx, cancel := clockwork.WithTimeout(ctx, p.options.Clock, grace)
@@ -138,11 +138,11 @@
 	return p.services.Stop(stopCtx)
 }
 
-// stopReserve is kept of the grace for ending the process itself.
+// stopReserve is the part of the grace period that is reserved for the exit of the process itself.
 const stopReserve = 400 * time.Millisecond
 
-// Reload notes that the settings file may have changed. Nothing that is read at
-// start can change while the process runs, so the running settings stay.
+// Reload updates the seed addresses of entry boxes from changed settings. All other settings are read only at
+// start and stay as they are.
 func (p *Process) Reload(changed *settings.Settings) {
 	p.options.Log.Info().Str("box", changed.Box).Int("seeds", len(changed.Peers.Entries)).Msg("settings reloaded")
 	if p.entries != nil {
@@ -150,8 +150,7 @@
 	}
 }
 
-// listen opens a listener whose connections fail soon after their peer has
-// fallen silent.
+// listen opens a TCP listener whose connections fail soon after their peer stops responding.
 func listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{Control: upstream.SetUserTimeout}
 	return config.Listen(context.Background(), "tcp", address)
@@ -161,7 +160,7 @@
 
 func (p *Process) region() member.Region { return member.Region(p.settings.Region) }
 
-// regionOf returns the region of a failure domain; empty if the settings do not name it.
+// regionOf returns the region of a failure domain, empty if the settings do not list the domain.
 func (p *Process) regionOf(domain member.FailureDomain) member.Region {
 	return member.Region(p.settings.Direct.Domains[string(domain)])
 }
--- a/internal/direct/directory.go
+++ b/internal/direct/directory.go
@@ -11,7 +11,7 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// Directory tells callers which entry boxes to use.
+// Directory resolves callers to entry boxes and serves the readiness probe of the platform.
 type Directory struct {
 	protocol provider.CallerProtocol
 	status   *StatusServer
@@ -20,10 +20,10 @@
 	ttl      time.Duration
 }
 
-// maxDirectoryAddresses bounds the addresses of one answer.
+// maxDirectoryAddresses bounds the number of addresses in one response.
 const maxDirectoryAddresses = 64
 
-// startDirectory answers where callers should go, and whether this box is ready.
+// startDirectory starts the HTTP services for directory queries and for readiness probes.
 func (p *Process) startDirectory() error {
 	d := &Directory{
 		protocol: p.options.Platform.Callers, status: p.status, entries: p.entries, self: p.membership.own,
@@ -47,7 +47,7 @@
 	return p.services.Register(service)
 }
 
-// serveReadiness answers the platform's question.
+// serveReadiness responds to a readiness probe: 200 if the box accepts requests, else 503.
 func (d *Directory) serveReadiness(c echo.Context) error {
 	if !d.status.Ready() {
 		return c.NoContent(http.StatusServiceUnavailable)
@@ -55,24 +55,24 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// resolve answers with the ready entry boxes of the caller's region, or with all
-// of them if there is none.
+// resolve responds with ready entry boxes of the caller's region in random order. If the region has fewer than
+// minRegionalBoxes, the response has boxes of all regions; if none is ready, it is 503.
 func (d *Directory) resolve(c echo.Context) error {
-	question := d.protocol.ReadDirectoryQuery(c.Request())
+	query := d.protocol.ReadDirectoryQuery(c.Request())
 	boxes := d.entries.Ready()
 	if d.status.Ready() {
 		boxes = append(boxes, d.self)
 	}
-	var near, all []member.Address
+	var local, all []member.Address
 	for _, box := range boxes {
 		all = append(all, box.Callers)
-		if box.Region == question.Region {
-			near = append(near, box.Callers)
+		if box.Region == query.Region {
+			local = append(local, box.Callers)
 		}
 	}
 	chosen := all
-	if len(near) >= minRegionalBoxes {
-		chosen = near
+	if len(local) >= minRegionalBoxes {
+		chosen = local
 	}
 	if len(chosen) == 0 {
 		return c.NoContent(http.StatusServiceUnavailable)
@@ -81,5 +81,6 @@
 	return c.JSON(http.StatusOK, d.protocol.NewDirectoryResponse(chosen[:min(len(chosen), maxDirectoryAddresses)], d.ttl))
 }
 
-// minRegionalBoxes is how many entry boxes of a caller's region suffice for it.
+// minRegionalBoxes is the minimum number of ready entry boxes in a caller's region for a response without other
+// regions.
 const minRegionalBoxes = 2
--- a/internal/direct/entryboxes.go
+++ b/internal/direct/entryboxes.go
@@ -20,25 +20,26 @@
 )
 
 const (
-	// followRetryDelay is the wait before a box that could not be followed is tried
-	// again. After a loss of power everything waits for it; an attempt costs little, as a
-	// port that nothing listens on is told at once.
+	// followRetryDelay is the delay before a failed attempt to follow a box is repeated. The restart of a whole fleet
+	// after a power failure waits for this delay; an attempt costs little, because a connection to a port that nobody
+	// listens on is refused at once.
 	followRetryDelay = 50 * time.Millisecond
-	// silentAfter is for how long a box can't be reached before it is marked silent: connections
-	// that are reset while the box lives are opened again well within it.
+	// silentAfter is how long a box must be unreachable before it is marked silent. A connection to a live box
+	// that was reset is opened again well within this time.
 	silentAfter = 200 * time.Millisecond
-	// remarkInterval is the same for a box that others hear, or that has answered the mark.
+	// remarkInterval is the additional delay before the same box is marked silent again, in case other boxes still
+	// reach it or it has refuted the mark.
 	remarkInterval = 2 * time.Second
-	// replanInterval is how often at most the fleet is divided anew: when hundreds of boxes start,
-	// records come by the dozen.
+	// replanInterval is the minimum time between two updates of the cell plan: when hundreds of boxes start, their
+	// records arrive by the dozen.
 	replanInterval = 100 * time.Millisecond
-	// expireInterval is how often is looked for boxes that have been silent for long.
+	// expireInterval is how often expired boxes are removed while nothing else changes.
 	expireInterval = time.Second
 )
 
-// EntryBoxes follows other entry boxes: all of the own cell, for what they have in flight, some
-// neighbours in the whole fleet, for what they know, and a few of other cells, for whom they have
-// sent away. Where the fleet is one cell that is all of them.
+// EntryBoxes follows the status streams of other entry boxes: those of all boxes of the own cell for their load
+// and demand, those of some neighbours across the fleet for membership records, and those of a few boxes of other
+// cells for the callers that they rejected. In a fleet with a single cell, it follows every box.
 type EntryBoxes struct {
 	self       member.Record
 	regionOf   func(member.FailureDomain) member.Region
@@ -49,47 +50,47 @@
 	clock      clockwork.Clock
 	log        zerolog.Logger
 	tasks      *kernel.TaskGroup
-	// onReport is called with what another box of the cell has in flight and is asked for; see Front.
-	onReport func(box member.BoxID, load route.Load, demands route.Demands, whole bool, now time.Time)
-	// onRejected is called with the callers of whom another box tells on a way.
+	// onReport is called with the load and demand of another box of the cell; see CallerServer.MergePeerReport.
+	onReport func(box member.BoxID, load route.Load, demands route.Demands, full bool, now time.Time)
+	// onRejected is called with callers that another box reports as rejected, and the relay dimension of its stream.
 	onRejected func(callers []route.RejectedCaller, from route.RelayDimension, now time.Time)
-	// pull reads what another entry box has come to know since the last time.
+	// pull reads the facts that have changed at another entry box since the last pull from it.
 	pull func(ctx context.Context, from member.Address) error
-	// startFollow begins to follow a box.
+	// startFollow starts to follow a box.
 	startFollow func(address string, want subscription) context.CancelFunc
 
 	mu sync.Mutex
-	// seeds are the addresses of the settings.
+	// seeds are the addresses of entry boxes from the settings.
 	seeds []string
-	// boxes are those that are heard directly.
+	// boxes holds the last status of each followed box, by peer address.
 	boxes map[string]EntryBox
-	// following is whom this box follows.
+	// following holds the followed boxes, by peer address.
 	following map[string]followed
-	// cursors is how far the facts of each box were read.
+	// cursors holds the position up to which the facts of each box have been read.
 	cursors map[member.Address]state.Cursor
 	readers *readerSet
-	// plan is how the fleet is divided; nil until that is known. Replanned is closed when it
-	// changes.
+	// plan is the current division of the fleet into cells, nil before the first one. replanned is closed when the
+	// plan changes.
 	plan      *cellPlan
 	planInput planInput
 	replanned chan struct{}
 }
 
-// subscription is what this box wants to hear of another one.
+// subscription selects the contents of the status stream of one followed box.
 type subscription struct {
-	// load is set for boxes of the own cell, members for those that tell of all others.
+	// load selects the load and demand of a box of the own cell, members the records of all entry boxes.
 	load, members bool
-	// relay is set for boxes of other cells whose callers this one tells its own cell of.
+	// relay is set for a box of another cell whose rejected callers this box relays to its own cell.
 	relay route.RelayDimension
 }
 
-// followed is a box that is being followed.
+// followed is the subscription to one box, and the function that cancels it.
 type followed struct {
 	subscription
 	cancel context.CancelFunc
 }
 
-// startPeers follows the other entry boxes.
+// startPeers starts to follow the other entry boxes.
 func (p *Process) startPeers() error {
 	times := readIntervalsFor(time.Duration(p.settings.Direct.ChangeBound))
 	e := &EntryBoxes{
@@ -111,81 +112,82 @@
 // String returns the service's name.
 func (e *EntryBoxes) String() string { return "entry-boxes" }
 
-// Stop ends following.
+// Stop ends all subscriptions.
 func (e *EntryBoxes) Stop(ctx context.Context) error { return e.tasks.Stop(ctx) }
 
-// AddSeeds notes addresses of settings that have changed.
+// AddSeeds replaces the seed addresses by those of the changed settings.
 func (e *EntryBoxes) AddSeeds(seeds []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.seeds = seeds
 }
 
-// followAll follows whom it has to, and divides the fleet anew when it changes.
+// followAll updates the cell plan and the subscriptions whenever the membership or the fleet state changes, and
+// removes expired boxes, until the context ends.
 func (e *EntryBoxes) followAll(ctx context.Context) {
 	for ctx.Err() == nil {
-		members, facts := e.membership.Changed(), e.fleetState.Changed()
+		membershipChanged, fleetStateChanged := e.membership.Changed(), e.fleetState.Changed()
 		e.replan()
 		e.setFollowing(e.subscriptions())
 		sleep(ctx, e.clock, replanInterval)
 		select {
 		case <-ctx.Done():
-		case <-members:
-		case <-facts:
+		case <-membershipChanged:
+		case <-fleetStateChanged:
 		case <-e.clock.After(expireInterval):
 			e.membership.Expire()
 		}
 	}
 }
 
-// subscriptions returns whom to follow, by address.
+// subscriptions returns the required subscriptions, by peer address.
 func (e *EntryBoxes) subscriptions() map[string]subscription {
 	records, plan := e.membership.All(), e.currentPlan()
-	wanted := make(map[string]subscription)
-	heardOf := make(map[string]bool, len(records))
+	desired := make(map[string]subscription)
+	known := make(map[string]bool, len(records))
 	up := make([]member.Record, 0, len(records))
 	for _, record := range records {
 		if plan.cellPeers[record.Box] {
-			wanted[string(record.Peers)] = subscription{load: true}
+			desired[string(record.Peers)] = subscription{load: true}
 		}
 		if record.Status != member.StatusSilent {
-			heardOf[string(record.Peers)] = true
+			known[string(record.Peers)] = true
 			up = append(up, record)
 		}
 	}
-	tellers := make([]string, 0, member.NeighboursPerBox)
+	sources := make([]string, 0, member.NeighboursPerBox)
 	for _, record := range member.Neighbours(e.self, up) {
-		tellers = append(tellers, string(record.Peers))
+		sources = append(sources, string(record.Peers))
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	// A seed that nobody is known by is how this box finds the others, at its start or after
-	// two parts of the fleet have forgotten each other.
+	// A seed address without a known box is how this box finds the others, at its start or after two parts of the
+	// fleet have removed each other from their membership.
 	for _, seed := range e.seeds {
-		if !heardOf[seed] {
-			tellers = append(tellers, seed)
+		if !known[seed] {
+			sources = append(sources, seed)
 		}
 	}
-	for _, teller := range tellers {
-		wanted[teller] = subscription{load: wanted[teller].load, members: true}
+	for _, source := range sources {
+		desired[source] = subscription{load: desired[source].load, members: true}
 	}
 	for address, relay := range plan.relaySources(e.self.Box, up) {
-		want := wanted[string(address)]
+		want := desired[string(address)]
 		want.relay = relay
-		wanted[string(address)] = want
+		desired[string(address)] = want
 	}
-	delete(wanted, string(e.self.Peers))
-	return wanted
+	delete(desired, string(e.self.Peers))
+	return desired
 }
 
-// setFollowing follows boxes, and no others any more.
-func (e *EntryBoxes) setFollowing(wanted map[string]subscription) {
-	// What is known of a box goes before it is followed anew: the first that it tells is whole,
-	// and nothing is of use without that.
-	for _, address := range e.stopFollowing(wanted) {
+// setFollowing starts the missing subscriptions and ends all that are not desired.
+func (e *EntryBoxes) setFollowing(desired map[string]subscription) {
+	// The status of a box is dropped before the box is followed again: a new stream starts with a full status, and
+	// partial ones are useless without it.
+	for _, address := range e.stopFollowing(desired) {
 		e.dropBox(address)
 	}
-	for address, want := range wanted {
+	for address, want := range desired {
 		if !e.isFollowing(address) {
 			cancel := e.startFollow(address, want)
 			e.mu.Lock()
@@ -198,55 +200,56 @@
 func (e *EntryBoxes) isFollowing(address string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_, follows := e.following[address]
-	return follows
+	_, ok := e.following[address]
+	return ok
 }
 
-// stopFollowing ends following those who are not wanted, or not for the same, and returns them.
-func (e *EntryBoxes) stopFollowing(wanted map[string]subscription) []string {
+// stopFollowing cancels the subscriptions that are not desired or have changed, and returns their addresses.
+func (e *EntryBoxes) stopFollowing(desired map[string]subscription) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var ended []string
-	for address, f := range e.following {
-		if wanted[address] != f.subscription {
-			f.cancel()
+	var stopped []string
+	for address, current := range e.following {
+		if desired[address] != current.subscription {
+			current.cancel()
 			delete(e.following, address)
-			ended = append(ended, address)
+			stopped = append(stopped, address)
 		}
 	}
-	return ended
+	return stopped
 }
 
-// startFollowing is the begin of a running process.
+// startFollowing starts a task that follows a box, and returns the function that cancels it. It is
+// startFollow in a running process; tests replace it.
 func (e *EntryBoxes) startFollowing(address string, want subscription) context.CancelFunc {
 	ctx, cancel := context.WithCancel(e.tasks.Context())
 	e.tasks.Go(func(context.Context) { e.follow(ctx, address, want) })
 	return cancel
 }
 
-// follow keeps what one entry box tells.
+// follow follows one entry box until the context ends, and marks it silent while it is unreachable.
 func (e *EntryBoxes) follow(ctx context.Context, entry string, want subscription) {
-	lost := e.clock.Now()
+	unreachableSince := e.clock.Now()
 	for {
-		heard, err := e.followOnce(ctx, entry, want)
+		received, err := e.followOnce(ctx, entry, want)
 		if ctx.Err() != nil {
 			return
 		}
 		now := e.clock.Now()
-		if heard {
-			lost = now
+		if received {
+			unreachableSince = now
 			e.dropBox(entry)
 		}
-		if now.Sub(lost) >= silentAfter || errors.Is(err, errSilent) {
+		if now.Sub(unreachableSince) >= silentAfter || errors.Is(err, errSilent) {
 			e.markSilent(entry)
-			lost = now.Add(remarkInterval)
+			unreachableSince = now.Add(remarkInterval)
 		}
 		sleep(ctx, e.clock, followRetryDelay)
 	}
 }
 
-// followOnce follows a box until its stream ends, and tells whether it was heard.
-func (e *EntryBoxes) followOnce(ctx context.Context, entry string, want subscription) (heard bool, err error) {
+// followOnce follows a box until its stream ends, and reports whether any message was received.
+func (e *EntryBoxes) followOnce(ctx context.Context, entry string, want subscription) (received bool, err error) {
 	return followStream(ctx, e.clock, e.peers, e.log, &peerStream[*wire.EntryStatus]{
 		dependency: "entry", address: member.Address(entry),
 		open: func(ctx context.Context, client wire.DRPCFleetClient) (func() (*wire.EntryStatus, error), error) {
@@ -263,7 +266,8 @@
 	})
 }
 
-// followRequest is how this box asks another one for its status.
+// followRequest returns the request for the status stream of another box. It includes the record of this box, so
+// that the other one knows it.
 func (e *EntryBoxes) followRequest(want subscription) *wire.FollowRequest {
 	request := &wire.FollowRequest{
 		Box: string(e.self.Box), Peers: string(e.self.Peers), Region: string(e.self.Region), Load: want.load, Members: want.members,
@@ -272,15 +276,15 @@
 	own, _ := e.membership.Record(e.self.Box)
 	item, err := own.Item()
 	if err != nil {
-		e.log.Error().Err(err).Msg("own record not told")
+		e.log.Error().Err(err).Msg("encoding the own record failed; following without it")
 		return request
 	}
 	request.Record = itemsToWire([]state.Item{item})[0]
 	return request
 }
 
-// markSilent marks a box silent that can't be reached, unless this box is likely to be the one that
-// is cut off: then it hears less than half of those that it follows.
+// markSilent marks an unreachable box silent, unless this box is probably the disconnected one: it then receives
+// from less than half of the boxes that it follows.
 func (e *EntryBoxes) markSilent(entry string) {
 	for _, record := range e.membership.All() {
 		if string(record.Peers) == entry && e.receivesFromMajority() {
@@ -289,15 +293,16 @@
 	}
 }
 
+// receivesFromMajority reports whether at least half of the followed boxes have sent a status within statusTimeout.
 func (e *EntryBoxes) receivesFromMajority() bool {
-	heard := len(e.Boxes())
+	received := len(e.Boxes())
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return 2*heard >= len(e.following)
+	return 2*received >= len(e.following)
 }
 
-// handleStatus takes a message of another box. What comes before its first whole one is of no
-// use.
+// handleStatus applies a status message of another box. The box's own status, load and demand are ignored until
+// the first full message.
 func (e *EntryBoxes) handleStatus(entry string, want subscription, status *wire.EntryStatus) {
 	now := e.clock.Now()
 	e.membership.Merge(itemsFromWire(status.Members), entry)
@@ -322,8 +327,8 @@
 	}
 }
 
-// updateBox keeps what a message tells of a box itself; ok is false if that is not known
-// whole yet.
+// updateBox applies a status message to the box's entry and returns the entry after and before it. ok is false if
+// the message is partial and no full one has been received.
 func (e *EntryBoxes) updateBox(entry string, status *wire.EntryStatus, now time.Time) (box, before EntryBox, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -343,6 +348,7 @@
 	return box, before, true
 }
 
+// dropBox removes the status, load and demand of a box.
 func (e *EntryBoxes) dropBox(entry string) {
 	e.mu.Lock()
 	box, known := e.boxes[entry]
@@ -353,7 +359,7 @@
 	}
 }
 
-// Boxes returns the entry boxes that were heard lately, without this one.
+// Boxes returns the other entry boxes that have sent a status within statusTimeout, sorted by name.
 func (e *EntryBoxes) Boxes() []EntryBox {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -368,8 +374,8 @@
 	return boxes
 }
 
-// Ready returns the entry boxes that take requests, without this one: as they tell themselves
-// where they are followed, else as others tell of them.
+// Ready returns the other entry boxes that accept requests. The status stream decides for a followed box, the
+// membership record for any other.
 func (e *EntryBoxes) Ready() []member.Record {
 	records := e.membership.All()
 	e.mu.Lock()
@@ -378,9 +384,9 @@
 	ready := make([]member.Record, 0, len(records))
 	for _, record := range records {
 		isReady := record.Status == member.StatusUp
-		if _, follows := e.following[string(record.Peers)]; follows {
-			box, heard := e.boxes[string(record.Peers)]
-			isReady = heard && box.Ready && now.Sub(box.LastSeen) < statusTimeout
+		if _, isFollowed := e.following[string(record.Peers)]; isFollowed {
+			box, known := e.boxes[string(record.Peers)]
+			isReady = known && box.Ready && now.Sub(box.LastSeen) < statusTimeout
 		}
 		if isReady && record.Box != e.self.Box && record.Callers != "" {
 			ready = append(ready, record)
@@ -389,5 +395,5 @@
 	return ready
 }
 
-// Up is how many entry boxes there are.
+// Up returns the number of entry boxes that are not silent, including this one.
 func (e *EntryBoxes) Up() int { return e.membership.UpCount() }
--- a/internal/direct/follow.go
+++ b/internal/direct/follow.go
@@ -12,45 +12,46 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// peerStream is a stream of messages that another process tells.
+// peerStream is a stream of messages from another process.
 type peerStream[M any] struct {
-	// dependency is what the log calls the process.
+	// dependency is the name of the process in log lines.
 	dependency string
 	address    member.Address
-	// open opens the stream and returns what receives its next message.
+	// open opens the stream and returns the function that receives its next message.
 	open func(ctx context.Context, client wire.DRPCFleetClient) (receive func() (M, error), err error)
 	// onMessage is called with each message.
 	onMessage func(message M)
-	// regainedFields adds to the log line of the first message, lost to that of the end after one.
-	// Either may be nil.
+	// regainedFields adds fields to the log line for the first message, lostFields to the one for the end of a
+	// stream that had messages. Both may be nil.
 	regainedFields func(line *zerolog.Event, first M)
 	lostFields     func(line *zerolog.Event, err error)
 }
 
-// errSilent reports a peer that said nothing for statusTimeout.
+// errSilent reports a peer that has sent no message for statusTimeout.
 var errSilent = errors.New("peer is silent")
 
-// followStream takes what a stream tells until it fails, falls silent or the context ends, and
-// reports whether anything was heard. That the process is heard, and no more, is logged.
+// followStream receives the messages of a stream until the stream fails, the peer is silent for statusTimeout or
+// the context ends. It reports whether any message was received, and the reason for the end. It logs the first
+// message, and the end of a stream that had messages unless the context ended it.
 func followStream[M any](
 	ctx context.Context, clock clockwork.Clock, peers *daemon.PeerPool, log zerolog.Logger, stream *peerStream[M],
-) (heard bool, err error) {
+) (received bool, err error) {
 	err = stream.receive(ctx, clock, peers, func(message M) {
-		if !heard {
-			heard = true
+		if !received {
+			received = true
 			stream.logRegained(log.Info(), message)
 		}
 		stream.onMessage(message)
 	})
-	if heard && ctx.Err() == nil {
+	if received && ctx.Err() == nil {
 		stream.logLost(log.Warn(), err)
 	}
-	return heard, err
+	return received, err
 }
 
-// receive opens the stream and receives until it fails or falls silent. Each stream has a
-// connection of its own: after one that fell silent, others that are kept may be silent too.
-func (s *peerStream[M]) receive(ctx context.Context, clock clockwork.Clock, peers *daemon.PeerPool, take func(message M)) error {
+// receive opens the stream and calls onMessage with each message until the stream fails or falls silent. Each
+// stream opens a new connection: after a silent one, idle connections to the same peer may be silent as well.
+func (s *peerStream[M]) receive(ctx context.Context, clock clockwork.Clock, peers *daemon.PeerPool, onMessage func(message M)) error {
 	streamCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	watchdog := clock.AfterFunc(statusTimeout, func() { cancel(errSilent) })
@@ -62,12 +63,12 @@
 	receive, err := s.open(streamCtx, wire.NewDRPCFleetClient(conn))
 	for err == nil {
 		var message M
-		// What comes once the context has ended is not taken: the process may have been dropped.
+		// A message after the end of the context is ignored, because the status of the process may have been dropped.
 		if message, err = receive(); err == nil {
 			err = ctx.Err()
 		}
 		if err == nil {
-			take(message)
+			onMessage(message)
 			watchdog.Reset(statusTimeout)
 		}
 	}
@@ -77,6 +78,7 @@
 	return err
 }
 
+// logRegained logs the first message of a stream.
 func (s *peerStream[M]) logRegained(line *zerolog.Event, first M) {
 	line.Str("dependency", s.dependency).Str("address", string(s.address))
 	if s.regainedFields != nil {
@@ -85,6 +87,7 @@
 	line.Msg("dependency regained")
 }
 
+// logLost logs the end of a stream that had messages.
 func (s *peerStream[M]) logLost(line *zerolog.Event, err error) {
 	line.Str("dependency", s.dependency).Str("address", string(s.address))
 	if s.lostFields != nil {
--- a/internal/direct/membership.go
+++ b/internal/direct/membership.go
@@ -15,14 +15,13 @@
 	"github.com/cinderslip/cinderslip/pkg/state"
 )
 
-// silentExpiry is for how long an entry box that fell silent is still counted: one that was
-// killed is back well before, and the fleet is not divided anew meanwhile.
+// silentExpiry is how long a silent entry box stays in the membership. A box that was killed restarts well within
+// this time, so the division into cells does not change meanwhile.
 const silentExpiry = 20 * time.Second
 
-// Membership is what is known of all entry boxes, this one included. Each box writes a record of
-// itself; those that hear it directly mark it silent once they don't, and it overrules that
-// with its next record. Records pass from box to box, so that one box hears few others
-// directly and knows all of them.
+// Membership holds the records of all entry boxes, including this one. Each box writes a record of itself. The
+// boxes that follow it mark it silent when they lose it, and it refutes the mark with a newer record. Records pass
+// from box to box, so that a box knows all others but follows only a few.
 type Membership struct {
 	clock clockwork.Clock
 	log   zerolog.Logger
@@ -30,16 +29,16 @@
 
 	mu  sync.Mutex
 	own member.Record
-	// records are all records, by name; silentSince is since when those were marked that are
-	// silent.
+	// records holds all records by box name, silentSince maps silent boxes to the time at which this box set
+	// or received their mark.
 	records     map[member.BoxID]member.Record
 	silentSince map[member.BoxID]time.Time
-	// sorted are the records in the order of their names; nil if they have changed since.
+	// sorted caches the records sorted by box name; nil after a change.
 	sorted  []member.Record
 	changed chan struct{}
 }
 
-// NewMembership returns members that know only this box.
+// NewMembership returns a membership that holds only the record of this box.
 func NewMembership(own member.Record, clock clockwork.Clock, log zerolog.Logger) *Membership {
 	m := &Membership{
 		clock: clock, log: log, store: state.NewStore(rand.Uint64()), own: own,
@@ -51,11 +50,11 @@
 	return m
 }
 
-// putLocal takes a record that was made here. The lock must be held.
+// putLocal stores a record written by this box and notifies of the change. The lock must be held.
 func (m *Membership) putLocal(record member.Record) {
 	item, err := record.Item()
 	if err != nil {
-		m.log.Error().Str("box", string(record.Box)).Err(err).Msg("record not written")
+		m.log.Error().Str("box", string(record.Box)).Err(err).Msg("encoding an entry box record failed; not storing it")
 		return
 	}
 	m.store.Apply([]state.Item{item}, state.OriginLocal)
@@ -63,7 +62,7 @@
 	m.notify()
 }
 
-// put keeps a record. The lock must be held.
+// put stores a record and updates silentSince. The lock must be held.
 func (m *Membership) put(record member.Record) {
 	m.records[record.Box] = record
 	m.sorted = nil
@@ -74,13 +73,13 @@
 	}
 }
 
-// notify wakes those who wait for a change. The lock must be held.
+// notify closes the channel returned by Changed. The lock must be held.
 func (m *Membership) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// SetStatus tells what this box is doing.
+// SetStatus updates the status in the record of this box.
 func (m *Membership) SetStatus(status member.Status) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -92,10 +91,10 @@
 	m.putLocal(m.own)
 }
 
-// Merge takes what another box tells.
+// Merge applies records received from another box. Records that are not newer than the known ones are ignored.
 func (m *Membership) Merge(items []state.Item, from string) {
-	// What is kept follows the order in which the store takes records: of two that came at the
-	// same moment the older one was kept for good.
+	// The lock also covers the store: without it, of two records received at the same moment the older one could
+	// be put last and stay for good.
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	fresh := m.store.Apply(items, state.OriginRemote)
@@ -104,13 +103,13 @@
 	}
 	log := m.log
 	if len(fresh) > maxItemsLogged {
-		m.log.Info().Int("records", len(fresh)).Str("from", from).Msg("many entry boxes heard of")
+		m.log.Info().Int("records", len(fresh)).Str("from", from).Msg("many entry box records received")
 		log = m.log.Level(zerolog.WarnLevel)
 	}
 	for _, item := range fresh {
 		record, err := member.ParseRecord(item.Value)
 		if err != nil {
-			m.log.Error().Str("record", item.Key).Str("from", from).Err(err).Msg("record not taken")
+			m.log.Error().Str("record", item.Key).Str("from", from).Err(err).Msg("decoding an entry box record failed; skipping it")
 			continue
 		}
 		if record.Box == m.own.Box {
@@ -119,23 +118,23 @@
 		}
 		if before, known := m.records[record.Box]; !known || before.Status != record.Status {
 			log.Info().Str("box", string(record.Box)).Str("region", string(record.Region)).Str("status", string(record.Status)).
-				Uint64("incarnation", uint64(record.Incarnation)).Str("from", from).Msg("entry box heard of")
+				Uint64("incarnation", uint64(record.Incarnation)).Str("from", from).Msg("entry box record received")
 		}
 		m.put(record)
 	}
 	m.notify()
 }
 
-// refute answers a newer record of this box than its own: it was taken for silent, or the
-// time of day was later when it started the last time. The lock must be held.
-func (m *Membership) refute(told member.Record, from string) {
-	m.log.Warn().Str("status", string(told.Status)).Uint64("incarnation", uint64(told.Incarnation)).Str("from", from).Msg("others hold a newer record of this box")
-	m.own.Incarnation = max(m.own.Incarnation, told.Incarnation)
-	m.own.Sequence = max(m.own.Sequence, told.Sequence) + 1
+// refute replaces a record of this box that is newer than its own by a still newer one: either another box has
+// marked it silent, or its clock was ahead at an earlier start. The lock must be held.
+func (m *Membership) refute(reported member.Record, from string) {
+	m.log.Warn().Str("status", string(reported.Status)).Uint64("incarnation", uint64(reported.Incarnation)).Str("from", from).Msg("others hold a newer record of this box")
+	m.own.Incarnation = max(m.own.Incarnation, reported.Incarnation)
+	m.own.Sequence = max(m.own.Sequence, reported.Sequence) + 1
 	m.putLocal(m.own)
 }
 
-// MarkSilent notes that a box is silent which this one heard directly.
+// MarkSilent marks a followed box silent. It ignores unknown boxes, boxes already marked, and this box.
 func (m *Membership) MarkSilent(box member.BoxID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -148,7 +147,7 @@
 	m.putLocal(record)
 }
 
-// Expire forgets the boxes that have been silent for long.
+// Expire removes the boxes that have been silent for silentExpiry.
 func (m *Membership) Expire() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -157,7 +156,7 @@
 		if now.Sub(since) < silentExpiry {
 			continue
 		}
-		m.log.Info().Str("box", string(box)).Dur("silent_ms", now.Sub(since)).Msg("entry box forgotten")
+		m.log.Info().Str("box", string(box)).Dur("silent_ms", now.Sub(since)).Msg("silent entry box expired; removing it from the membership")
 		delete(m.silentSince, box)
 		delete(m.records, box)
 		m.store.Purge(member.KeyPrefix + string(box))
@@ -166,8 +165,8 @@
 	}
 }
 
-// All returns the records of all entry boxes, in the order of their names, this box and silent
-// ones included. They must not be changed.
+// All returns the records of all entry boxes, including this one and silent ones, sorted by name. The slice must
+// not be modified.
 func (m *Membership) All() []member.Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -184,7 +183,7 @@
 	return m.own
 }
 
-// Record returns what is known of one box.
+// Record returns the record of a box; ok is false if there is none.
 func (m *Membership) Record(box member.BoxID) (record member.Record, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -199,49 +198,51 @@
 	return m.changed
 }
 
-// UpCount returns how many entry boxes there are that are not silent, at least this one.
+// UpCount returns the number of entry boxes that are not silent, at least 1.
 func (m *Membership) UpCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return max(1, len(m.records)-len(m.silentSince))
 }
 
-// sampleSize is how many entry boxes an agent is told to choose from.
+// sampleSize is the maximum number of entry box addresses sent to an agent.
 const sampleSize = 8
 
-// SampleAddresses returns the addresses of some entry boxes, drawn anew each time so that agents spread
-// over all of them: of a region if there are any, else of all.
+// SampleAddresses returns the peer addresses of up to sampleSize random entry boxes that are neither silent nor
+// leaving, so that agents spread over all boxes. The boxes are from the given region if it has at least
+// minSampleRegional, else from all regions.
 func (m *Membership) SampleAddresses(region member.Region) []string {
-	var near, far []string
+	var local, remote []string
 	for _, record := range m.All() {
 		switch {
 		case record.Status == member.StatusSilent || record.Status == member.StatusLeaving:
 		case record.Region == region:
-			near = append(near, string(record.Peers))
+			local = append(local, string(record.Peers))
 		default:
-			far = append(far, string(record.Peers))
+			remote = append(remote, string(record.Peers))
 		}
 	}
-	if len(near) < minSampleRegional {
-		near = append(near, far...)
+	if len(local) < minSampleRegional {
+		local = append(local, remote...)
 	}
-	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
-	return near[:min(len(near), sampleSize)]
+	rand.Shuffle(len(local), func(i, j int) { local[i], local[j] = local[j], local[i] })
+	return local[:min(len(local), sampleSize)]
 }
 
-// minSampleRegional is how many entry boxes of its region suffice for an agent.
+// minSampleRegional is the minimum number of entry boxes in an agent's region for a sample without other regions.
 const minSampleRegional = 3
 
-// memberCursor is how far the receiver of one stream was told the records.
+// memberCursor is the position of one status stream in the changes of the membership.
 type memberCursor struct {
 	membership *Membership
-	// all is set for one that is told every record, and not only this box's own.
+	// all selects the records of all boxes instead of only this box's own.
 	all    bool
 	cursor state.Cursor
-	own    state.Version
+	// own is the version of this box's record that was sent last.
+	own state.Version
 }
 
-// next returns the records that the receiver does not know yet.
+// next returns the records that have changed since the last call.
 func (c *memberCursor) next() []state.Item {
 	if c.all {
 		batch := c.membership.store.Since(c.cursor, maxBatchItems)
@@ -254,7 +255,7 @@
 	}
 	item, err := own.Item()
 	if err != nil {
-		c.membership.log.Error().Err(err).Msg("own record not told")
+		c.membership.log.Error().Err(err).Msg("encoding the own record failed; not sending it")
 		return nil
 	}
 	c.own = own.Version()
--- a/internal/direct/membership_test.go
+++ b/internal/direct/membership_test.go
@@ -34,10 +34,10 @@
 	return items
 }
 
-// mergeAll hands what one box knows of all boxes to another.
+// mergeAll merges all records of one box into another.
 func mergeAll(from, to *Membership) { to.Merge(from.store.Since(state.Cursor{}, 0).Items, "") }
 
-// statusOfBoxA is what one box knows of the box a.
+// statusOfBoxA returns the status of box a in a membership.
 func statusOfBoxA(t *testing.T, m *Membership) member.Status {
 	record, known := m.Record("a")
 	require.True(t, known)
@@ -58,17 +58,17 @@
 	require.Equal(t, 3, c.UpCount())
 }
 
-// The time of day may be set back before a box starts again; its records would then be older
-// than those of its life before, and nobody would hear of it.
+// Guards against a box that stays unknown after its clock was set back before a restart: its records are then
+// older than those of the previous incarnation.
 func TestRestartWithEarlierClockIsAccepted(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	before := NewMembership(member.Record{Box: "a", Incarnation: 9, Sequence: 4, Status: member.StatusUp}, clock, zerolog.Nop())
-	b, again := newTestMembership(clock, "b"), NewMembership(member.Record{Box: "a", Incarnation: 3, Status: member.StatusStarting}, clock, zerolog.Nop())
+	b, restarted := newTestMembership(clock, "b"), NewMembership(member.Record{Box: "a", Incarnation: 3, Status: member.StatusStarting}, clock, zerolog.Nop())
 	mergeAll(before, b)
-	mergeAll(again, b)
+	mergeAll(restarted, b)
 	require.Equal(t, member.StatusUp, statusOfBoxA(t, b))
-	mergeAll(b, again)
-	mergeAll(again, b)
+	mergeAll(b, restarted)
+	mergeAll(restarted, b)
 	require.Equal(t, member.StatusStarting, statusOfBoxA(t, b))
 }
 
@@ -79,7 +79,7 @@
 	b.MarkSilent("a")
 	clock.Advance(silentExpiry - time.Millisecond)
 	b.Expire()
-	require.Len(t, b.All(), 2, "the fleet is not divided anew because some boxes are away")
+	require.Len(t, b.All(), 2, "a box that is silent for less than silentExpiry stays in the fleet")
 	clock.Advance(time.Millisecond)
 	b.Expire()
 	require.Len(t, b.All(), 1)
@@ -87,8 +87,8 @@
 	require.Len(t, b.All(), 2)
 }
 
-// Each box hears a few others directly. All have to know of all, whoever marks whom, and
-// whatever the order in which they talk.
+// Each box follows only a few others. All records must reach every box, whichever boxes are marked silent and in
+// whatever order the boxes exchange records.
 func TestRecordsReachEveryBox(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
@@ -96,19 +96,19 @@
 		for i := range boxes {
 			boxes[i] = newTestMembership(clock, member.BoxID(fmt.Sprintf("box-%d", i)))
 		}
-		some := func(name string) int { return rapid.IntRange(0, len(boxes)-1).Draw(t, name) }
+		drawIndex := func(name string) int { return rapid.IntRange(0, len(boxes)-1).Draw(t, name) }
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				mergeAll(boxes[some("from")], boxes[some("to")])
+				mergeAll(boxes[drawIndex("from")], boxes[drawIndex("to")])
 			case 1:
-				boxes[some("marks")].MarkSilent(member.BoxID(fmt.Sprintf("box-%d", some("marked"))))
+				boxes[drawIndex("marks")].MarkSilent(member.BoxID(fmt.Sprintf("box-%d", drawIndex("marked"))))
 			default:
-				boxes[some("ready")].SetStatus(member.StatusUp)
+				boxes[drawIndex("ready")].SetStatus(member.StatusUp)
 			}
 		}
-		// On a ring, news passes every box in as many rounds as there are boxes; a mark that
-		// comes round is overruled, and that comes round too.
+		// On a ring, a record reaches every box in at most as many rounds as there are boxes. A silent mark may
+		// need that many to reach its box, and the refutation as many again.
 		for range 2 * len(boxes) {
 			for i := range boxes {
 				mergeAll(boxes[i], boxes[(i+1)%len(boxes)])
@@ -135,7 +135,7 @@
 	require.Empty(t, all.next())
 }
 
-// newFleet is a fleet of boxes and servers, as one box sees it.
+// newFleet returns the records of a fleet's entry boxes and a view with its servers.
 func newFleet(boxes, servers int) (records []member.Record, view *fleet.View) {
 	region := func(i int) string { return string(rune('a' + i%5)) }
 	for i := range boxes {
@@ -158,14 +158,14 @@
 
 func sameRegion(domain member.FailureDomain) member.Region { return member.Region(domain) }
 
-// Boxes that divide the fleet alike share servers with those only whom they tell of it, and
-// every server is used by one cell.
+// Guards against a server that boxes of different cells use without exchanging their load. Every box must compute
+// the same cells.
 func TestEachServerIsUsedByOneCell(t *testing.T) {
 	records, view := newFleet(149, 204)
 	users := make(map[member.Address]map[int]bool)
 	for _, record := range records {
 		plan := planCells(record.Box, records, view, sameRegion)
-		require.Equal(t, 8, plan.count)
+		require.Equal(t, 8, plan.cellCount)
 		require.InDelta(t, 149/8, len(plan.cellPeers), 5)
 		owned := plan.ownServers(view.Servers("llm"))
 		require.InDelta(t, 204.0/8, len(owned), 4)
@@ -175,8 +175,8 @@
 			}
 			users[server.Address][plan.ownCell] = true
 		}
-		for mate := range plan.cellPeers {
-			require.True(t, planCells(mate, records, view, sameRegion).cellPeers[record.Box])
+		for cellPeer := range plan.cellPeers {
+			require.True(t, planCells(cellPeer, records, view, sameRegion).cellPeers[record.Box])
 		}
 	}
 	require.Len(t, users, 204)
@@ -185,7 +185,8 @@
 	}
 }
 
-// Guards against each cell applying the whole rate limit of a server that all cells use, and against no cell using the server.
+// Guards against each cell applying the whole rate limit of a server that all cells use, and against no cell using
+// the server.
 func TestCellsDivideRateLimitOfSharedServer(t *testing.T) {
 	records, view := newFleet(149, 204)
 	for _, limit := range []float64{0, 0.05, 1, 1.9, 5, 16, 1000} {
@@ -207,36 +208,36 @@
 	}
 }
 
-func TestASmallFleetIsOneCell(t *testing.T) {
+func TestSmallFleetIsOneCell(t *testing.T) {
 	records, view := newFleet(9, 20)
 	plan := planCells("entry-0", records, view, sameRegion)
 	require.Len(t, plan.cellPeers, 8)
 	require.Len(t, plan.ownServers(view.Servers("llm")), 20)
 }
 
-// Each box of a large fleet follows few others, and news still reaches all of them.
+// Each box of a large fleet follows few others, and an update still reaches all boxes in a few hops.
 func TestUpdateReachesEveryBoxOfLargeFleet(t *testing.T) {
 	records, view := newFleet(600, 1200)
-	followers, most := make(map[member.Address][]member.Address), 0
+	followers, maxFollowed := make(map[member.Address][]member.Address), 0
 	for _, record := range records {
-		facts, clock := newTestFleetState()
-		e := newTestEntryBoxes(facts)
+		fleetState, clock := newTestFleetState()
+		e := newTestEntryBoxes(fleetState)
 		e.self, e.membership, e.regionOf, e.replanned = record, newTestMembership(clock, record.Box), sameRegion, make(chan struct{})
 		e.membership.Merge(recordItems(t, records...), "")
 		e.fleetState.view.Store(view)
 		e.replan()
-		interests := e.subscriptions()
-		most = max(most, len(interests))
-		for address := range interests {
+		subscriptions := e.subscriptions()
+		maxFollowed = max(maxFollowed, len(subscriptions))
+		for address := range subscriptions {
 			followers[member.Address(address)] = append(followers[member.Address(address)], record.Peers)
 		}
 	}
-	require.Less(t, most, 23+member.NeighboursPerBox)
-	reached, newest := map[member.Address]bool{"entry-0": true}, []member.Address{"entry-0"}
+	require.Less(t, maxFollowed, 23+member.NeighboursPerBox)
+	reached, frontier := map[member.Address]bool{"entry-0": true}, []member.Address{"entry-0"}
 	hops := 0
-	for ; len(newest) > 0; hops++ {
+	for ; len(frontier) > 0; hops++ {
 		var next []member.Address
-		for _, from := range newest {
+		for _, from := range frontier {
 			for _, to := range followers[from] {
 				if !reached[to] {
 					reached[to] = true
@@ -244,17 +245,18 @@
 				}
 			}
 		}
-		newest = next
+		frontier = next
 	}
 	require.Len(t, reached, 600)
-	require.LessOrEqual(t, hops-1, 4, "each hop takes an interval of telling and a round trip")
+	require.LessOrEqual(t, hops-1, 4, "each hop takes a status interval and a round trip")
 }
 
-// A box was followed for another reason than before, told all at once, and was then forgotten:
-// nothing that it told later was of use, and callers were led to fourteen of 24 boxes.
+// Guards against a box that becomes unknown when its subscription changes: the new stream's full status arrived
+// before the old status was dropped, and the later partial ones were ignored. Callers were then directed to 14 of
+// 24 boxes only.
 func TestResubscribedBoxIsKnownImmediately(t *testing.T) {
-	facts, _ := newTestFleetState()
-	e := newTestEntryBoxes(facts)
+	fleetState, _ := newTestFleetState()
+	e := newTestEntryBoxes(fleetState)
 	e.following, e.onReport = make(map[string]followed), func(member.BoxID, route.Load, route.Demands, bool, time.Time) {}
 	e.startFollow = func(address string, want subscription) context.CancelFunc {
 		e.handleStatus(address, want, &wire.EntryStatus{Box: address, Peers: address, Ready: true})
@@ -268,23 +270,24 @@
 	require.Empty(t, e.Boxes())
 }
 
-// newFollowingBoxes is one of a large fleet, which it knows.
+// newFollowingBoxes returns the EntryBoxes of one box in a large fleet, with all records known and all
+// subscriptions started, and the records of the fleet.
 func newFollowingBoxes(t *testing.T) (*EntryBoxes, []member.Record) {
 	records, view := newFleet(149, 204)
-	facts, clock := newTestFleetState()
-	e := newTestEntryBoxes(facts)
+	fleetState, clock := newTestFleetState()
+	e := newTestEntryBoxes(fleetState)
 	e.self, e.membership, e.regionOf, e.replanned = records[0], newTestMembership(clock, records[0].Box), sameRegion, make(chan struct{})
 	e.following, e.onReport = make(map[string]followed), func(member.BoxID, route.Load, route.Demands, bool, time.Time) {}
 	e.startFollow = func(string, subscription) context.CancelFunc { return func() {} }
 	e.membership.Merge(recordItems(t, records...), "")
-	facts.view.Store(view)
+	fleetState.view.Store(view)
 	e.replan()
 	e.setFollowing(e.subscriptions())
 	return e, records
 }
 
-// Two parts of a fleet that lost each other for long forget each other; the settings' addresses
-// are all that is left then.
+// Two parts of a fleet that are disconnected for long remove each other from their membership. Then only the seed
+// addresses of the settings can connect them again.
 func TestSeedIsFollowedWhileUnknown(t *testing.T) {
 	e, records := newFollowingBoxes(t)
 	var seed member.Record
@@ -295,32 +298,32 @@
 	}
 	e.AddSeeds([]string{string(seed.Peers), "10.9.9.9:1"})
 	require.Contains(t, e.subscriptions(), "10.9.9.9:1")
-	require.NotContains(t, e.subscriptions(), string(seed.Peers), "it is known, and neighbours tell of it")
+	require.NotContains(t, e.subscriptions(), string(seed.Peers), "the box is known, and neighbours report its record")
 	e.membership.MarkSilent(seed.Box)
 	require.Contains(t, e.subscriptions(), string(seed.Peers))
 }
 
-// A box that is cut off hears nobody. Did it mark those that it misses, all would be taken for
-// silent by the whole fleet once it is back.
+// Guards against a disconnected box that marks all others silent: once it is connected again, its marks would
+// spread to the whole fleet.
 func TestDisconnectedBoxMarksNoBoxSilent(t *testing.T) {
 	e, _ := newFollowingBoxes(t)
 	for address := range e.following {
 		e.markSilent(address)
 	}
 	require.Equal(t, 149, e.membership.UpCount())
-	heard := 0
+	visited := 0
 	for address := range e.following {
-		if heard++; 2*heard > len(e.following) {
+		if visited++; 2*visited > len(e.following) {
 			e.markSilent(address)
 			continue
 		}
 		e.handleStatus(address, subscription{}, &wire.EntryStatus{Box: address, Peers: address})
 	}
-	require.Less(t, e.membership.UpCount(), 149, "half of them are enough")
+	require.Less(t, e.membership.UpCount(), 149, "messages from half of the followed boxes suffice")
 }
 
-// Callers are led to boxes that are not followed by what others tell of them, and not to one
-// that is followed and silent, whatever others tell.
+// The directory includes a box that is not followed if its record says that it is up, and excludes a followed box
+// without a status, whatever its record says.
 func TestReadyIncludesBoxesReportedByOthers(t *testing.T) {
 	e, records := newFollowingBoxes(t)
 	for _, record := range records[1:] {
@@ -344,36 +347,36 @@
 	ranked := member.Rank("reader/riga", names, len(names))
 	first, second, third := ranked[0], ranked[1], ranked[2]
 	r := newReaderSet(third, "riga", testIntervals.readerTimeout())
-	require.True(t, r.isReader(1, now), "nobody else is known to read")
+	require.True(t, r.isReader(1, now), "no other box is known to read")
 	r.update(second, now)
 	require.False(t, r.isReader(1, now))
-	require.True(t, r.isReader(0, now), "two read where there is one region")
+	require.True(t, r.isReader(0, now), "a single region has two readers")
 	r.update(first, now)
 	require.False(t, r.isReader(0, now))
-	told := r.toWire(now, now)
-	require.Len(t, told, minStoreReaders)
-	require.Equal(t, string(first), told[0].Box)
-	require.True(t, r.isReader(1, now.Add(testIntervals.readerTimeout())), "those before it no longer hear from the store")
+	readers := r.toWire(now, now)
+	require.Len(t, readers, minStoreReaders)
+	require.Equal(t, string(first), readers[0].Box)
+	require.True(t, r.isReader(1, now.Add(testIntervals.readerTimeout())), "the store no longer responds to the boxes ranked before it")
 }
 
-// An old word of an answer that comes by a longer way must not make a reader look dead, nor a
-// dead one look alive.
+// Guards against an outdated report that arrives late over a longer path: it must not replace a newer one and make
+// an active reader look inactive, nor an inactive one active.
 func TestNewestReaderUpdateWins(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newReaderSet("self", "riga", testIntervals.readerTimeout())
-	words := []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond}
-	rand.Shuffle(len(words), func(i, j int) { words[i], words[j] = words[j], words[i] })
-	for _, age := range words {
+	ages := []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond}
+	rand.Shuffle(len(ages), func(i, j int) { ages[i], ages[j] = ages[j], ages[i] })
+	for _, age := range ages {
 		r.update("other", now.Add(-age))
 	}
 	require.Equal(t, map[member.BoxID]time.Time{"other": now}, maps.Clone(r.respondedAt))
 	require.Empty(t, r.active(time.Time{}, now.Add(testIntervals.readerTimeout())))
 }
 
-// entryBoxFleet is the entry boxes of a fleet, each with what it remembers of callers and whom it follows.
+// entryBoxFleet holds the entry boxes of a fleet by peer address, each with its rejected callers and its
+// subscriptions.
 type entryBoxFleet struct {
-	boxes map[member.Address]*EntryBoxes
-	// rejectedCallers and interests are each box's.
+	boxes           map[member.Address]*EntryBoxes
 	rejectedCallers map[member.Address]*route.RejectedCallers
 	subscriptions   map[member.Address]map[string]subscription
 }
@@ -386,8 +389,8 @@
 		subscriptions: make(map[member.Address]map[string]subscription),
 	}
 	for _, record := range records {
-		facts, clock := newTestFleetState()
-		e := newTestEntryBoxes(facts)
+		fleetState, clock := newTestFleetState()
+		e := newTestEntryBoxes(fleetState)
 		e.self, e.membership, e.regionOf, e.replanned = record, NewMembership(record, clock, zerolog.Nop()), sameRegion, make(chan struct{})
 		e.membership.Merge(recordItems(t, records...), "")
 		e.fleetState.view.Store(view)
@@ -397,31 +400,33 @@
 	return f
 }
 
-// exchangeRejected lets each box tell those that follow it until nobody hears anything new, and returns how often each was told.
+// exchangeRejected sends rejected callers from each box to its followers until there are no new ones, and returns
+// the number of callers that each box has received.
 func (f *entryBoxFleet) exchangeRejected(now time.Time) map[member.Address]int {
-	times := make(map[member.Address]int)
-	told := make(map[[2]member.Address]uint64)
-	for news := true; news; {
-		news = false
-		for to, interests := range f.subscriptions {
-			for address, want := range interests {
+	counts := make(map[member.Address]int)
+	cursors := make(map[[2]member.Address]uint64)
+	for changed := true; changed; {
+		changed = false
+		for to, subscriptions := range f.subscriptions {
+			for address, want := range subscriptions {
 				if !want.load && want.relay == 0 {
 					continue
 				}
 				link := [2]member.Address{member.Address(address), to}
 				var callers []route.RejectedCaller
-				callers, told[link] = f.rejectedCallers[link[0]].Since(told[link], want.relay)
+				callers, cursors[link] = f.rejectedCallers[link[0]].Since(cursors[link], want.relay)
 				f.rejectedCallers[to].Merge(callers, want.relay, now)
-				times[to] += len(callers)
-				news = news || len(callers) > 0
+				counts[to] += len(callers)
+				changed = changed || len(callers) > 0
 			}
 		}
 	}
-	return times
+	return counts
 }
 
-// Of ten callers that a box of one of two cells had refused five came back to the other cell, which took them for new ones: on a day
-// that asked for a third more than the servers could do, a fifth of what these did was answers to callers who were late already.
+// Guards against retrying callers that count as new in another cell. With two cells, half of the rejected callers
+// retry in the other cell: at a load one third above the servers' capacity, one fifth of the servers' work then
+// went to callers that were already late.
 func TestRejectedCallerIsKnownInEveryCell(t *testing.T) {
 	for name, fleet := range map[string]struct{ boxes, servers int }{
 		"one cell": {9, 20}, "2 cells": {41, 45}, "8 cells": {149, 204}, "32 cells": {600, 1200},
@@ -429,11 +434,11 @@
 		t.Run(name, func(t *testing.T) {
 			f, now := newEntryBoxFleet(t, fleet.boxes, fleet.servers), time.Unix(100, 0)
 			f.rejectedCallers["entry-0"].Record(route.RejectedCaller{Fingerprint: 7, FirstRequestAt: now, TimeoutAt: now.Add(6 * time.Second)}, now)
-			times := f.exchangeRejected(now)
-			delete(times, "entry-0")
-			require.Len(t, times, fleet.boxes-1)
-			for box, times := range times {
-				require.Equal(t, 1, times, "%s", box)
+			counts := f.exchangeRejected(now)
+			delete(counts, "entry-0")
+			require.Len(t, counts, fleet.boxes-1)
+			for box, count := range counts {
+				require.Equal(t, 1, count, "%s", box)
 			}
 		})
 	}
--- a/internal/direct/metrics.go
+++ b/internal/direct/metrics.go
@@ -16,7 +16,7 @@
 	"github.com/cinderslip/cinderslip/pkg/fleet"
 )
 
-// Metrics are the counts of one process.
+// Metrics are the Prometheus metrics of one process.
 type Metrics struct {
 	registry *prometheus.Registry
 
@@ -24,29 +24,30 @@
 	requestSeconds *prometheus.HistogramVec
 	ttfb           *prometheus.HistogramVec
 	attempts       *prometheus.CounterVec
-	// serverSignals counts answers in which backend servers announce that they leave, ask for rest or advertise a rate limit.
+	// serverSignals counts responses in which backend servers announce a departure, request a backoff or advertise
+	// a rate limit.
 	serverSignals *prometheus.CounterVec
-	// suspects counts what is heard of requests under which servers have ended.
+	// suspects counts the evidence about requests under which servers have exited.
 	suspects *prometheus.CounterVec
 	waiting  *prometheus.GaugeVec
-	// limitedServers is the number of servers with a rate limit; limitRefusals counts requests refused while all servers that could
-	// run them had one.
+	// limitedServers is the number of servers with a rate limit; limitRefusals counts the requests refused while
+	// all servers that could run them had one.
 	limitedServers *prometheus.GaugeVec
 	limitRefusals  *prometheus.CounterVec
-	// unclaimed are the requests that servers have in flight and no box that is heard claims.
+	// unclaimed is the number of requests that servers report in flight and that no live entry box claims.
 	unclaimed   *prometheus.GaugeVec
 	connections prometheus.Counter
 	storeCalls  *prometheus.CounterVec
 	logDropped  prometheus.Counter
 	chunks      *prometheus.CounterVec
 	orders      *prometheus.CounterVec
-	// configuration, revision and held are what the process believes.
+	// configuration, revision and deferredDeletions describe the process's current view of the fleet.
 	configuration     prometheus.Gauge
 	revision          prometheus.Gauge
 	deferredDeletions prometheus.Gauge
 }
 
-// secondsBuckets reach from a fast lookup to a long stream.
+// secondsBuckets are the histogram bounds in seconds, from a fast lookup to a long stream.
 var secondsBuckets = []float64{0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 1, 1.5, 2.5, 4, 6}
 
 // NewMetrics returns metrics with a registry of their own.
@@ -83,23 +84,23 @@
 	return m
 }
 
-// observeView shows what the process believes.
-func (m *Metrics) observeView(view *fleet.View, revision fleet.Revision, held int) {
+// observeView sets the metrics of the process's current view of the fleet.
+func (m *Metrics) observeView(view *fleet.View, revision fleet.Revision, deferred int) {
 	if view.Configuration != nil {
 		m.configuration.Set(float64(view.Configuration.Version))
 	}
 	m.revision.Set(float64(revision))
-	m.deferredDeletions.Set(float64(held))
+	m.deferredDeletions.Set(float64(deferred))
 }
 
-// observeStoreAge shows how long ago the platform's store last answered the process.
+// observeStoreAge registers a metric for the time since the last response of the platform's store.
 func (m *Metrics) observeStoreAge(age func() time.Duration) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: metric.Namespace, Name: "believed_store_age_seconds", Help: "How long ago the platform's store last answered; negative if it never did.",
 	}, func() float64 { return age().Seconds() }))
 }
 
-// httpService is an HTTP server as a service of the kernel.
+// httpService is an HTTP server with the methods of a kernel service.
 type httpService struct {
 	name   string
 	server *http.Server
@@ -107,14 +108,14 @@
 }
 
 const (
-	// headerTimeout bounds how long a caller may take to send its headers.
+	// headerTimeout is the maximum time for a caller to send its headers.
 	headerTimeout = 3 * time.Second
-	// idleTimeout is how long an unused connection is kept; callers take one
-	// up again that has rested for up to four fifths of it.
+	// idleTimeout is how long an idle connection is kept open. Callers reuse connections that have been idle for
+	// up to four fifths of it.
 	idleTimeout = 15 * time.Second
 )
 
-// serveHTTP answers on an address.
+// serveHTTP starts an HTTP server on an address. headerBytes bounds the size of request headers.
 func (p *Process) serveHTTP(name, address string, handler http.Handler, headerBytes int) (*httpService, error) {
 	listener, err := listen(address)
 	if err != nil {
@@ -125,7 +126,7 @@
 	}}
 	s.tasks.Go(func(context.Context) {
 		if err := s.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			p.options.Log.Error().Str("service", name).Err(err).Msg("listener failed")
+			p.options.Log.Error().Str("service", name).Err(err).Msg("HTTP listener failed; no longer accepting connections")
 		}
 	})
 	return s, nil
@@ -134,7 +135,7 @@
 // String returns the service's name.
 func (s *httpService) String() string { return s.name }
 
-// Stop finishes what is in progress.
+// Stop waits for the requests in progress. If the context ends first, it closes their connections.
 func (s *httpService) Stop(ctx context.Context) error {
 	err := s.server.Shutdown(ctx)
 	if err != nil {
@@ -149,11 +150,11 @@
 	return router
 }
 
-// maxInternalHeaderBytes bounds the headers of questions to the process itself, in bytes.
+// maxInternalHeaderBytes bounds the request headers, in bytes, of services other than the caller server.
 const maxInternalHeaderBytes = 8 << 10
 
-// startMetrics serves the metrics and, on entry boxes, the barred requests and the rate limits of backend servers. A process works
-// without them, so an address that is already in use is only logged.
+// startMetrics serves the metrics and, on entry boxes, the quarantined requests and the rate limits of backend
+// servers. The process works without this service, so a failure to listen is only logged.
 func (p *Process) startMetrics() error {
 	router := newRouter()
 	if p.callerServer != nil {
@@ -163,7 +164,7 @@
 	router.GET("/metrics", echo.WrapHandler(promhttp.HandlerFor(p.metrics.registry, promhttp.HandlerOpts{})))
 	service, err := p.serveHTTP("metrics", p.settings.Listen.Metrics, router, maxInternalHeaderBytes)
 	if err != nil {
-		p.options.Log.Warn().Str("address", p.settings.Listen.Metrics).Err(err).Msg("metrics are not served")
+		p.options.Log.Warn().Str("address", p.settings.Listen.Metrics).Err(err).Msg("listening for metrics failed; continuing without them")
 		return nil
 	}
 	return p.services.Register(service)
--- a/internal/direct/peerreports.go
+++ b/internal/direct/peerreports.go
@@ -9,43 +9,44 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// peerReports is what the other entry boxes of the cell told last. Its zero value is empty.
+// peerReports holds the last load and demand of the other entry boxes of the cell. Its zero value is empty.
 type peerReports map[member.BoxID]peerReport
 
-// peerReport is what one box has in flight, at the servers of all services, and is asked for.
+// peerReport is the load of one box at the servers of all services, and its demand for each service.
 type peerReport struct {
 	load    route.Load
 	demands route.Demands
 }
 
-// merge takes a message: of the servers and services that are named or, if whole is set, of these and no others. Nothing whole
-// in a message says that the box is no longer heard. It returns all that is known of the box now.
-func (p *peerReports) merge(box member.BoxID, load route.Load, demands route.Demands, whole bool) peerReport {
+// merge applies a report of a box and returns the box's resulting load and demand. A full report replaces the
+// previous one; a partial report changes only the servers and services that it contains. A full report with nil
+// load and demands removes the box, because it is unreachable.
+func (p *peerReports) merge(box member.BoxID, load route.Load, demands route.Demands, full bool) peerReport {
 	if *p == nil {
 		*p = make(peerReports)
 	}
-	known, heard := (*p)[box]
+	report, exists := (*p)[box]
 	switch {
-	case whole && load == nil && demands == nil:
+	case full && load == nil && demands == nil:
 		delete(*p, box)
 		return peerReport{}
-	case whole:
-		known = peerReport{load: make(route.Load, len(load)), demands: make(route.Demands, len(demands))}
-	case !heard:
-		// The first word of a box is whole; what comes before it is of no use.
+	case full:
+		report = peerReport{load: make(route.Load, len(load)), demands: make(route.Demands, len(demands))}
+	case !exists:
+		// A partial report without a preceding full one is useless.
 		return peerReport{}
 	}
-	maps.Copy(known.load, load)
-	maps.DeleteFunc(known.load, func(_ fleet.ServerID, load route.ServerLoad) bool { return load == (route.ServerLoad{}) })
-	maps.Copy(known.demands, demands)
-	(*p)[box] = known
-	return known
+	maps.Copy(report.load, load)
+	maps.DeleteFunc(report.load, func(_ fleet.ServerID, load route.ServerLoad) bool { return load == (route.ServerLoad{}) })
+	maps.Copy(report.demands, demands)
+	(*p)[box] = report
+	return report
 }
 
-// replayTo tells a new dispatcher of a service.
+// replayTo applies all reports to a new dispatcher of a service.
 func (p peerReports) replayTo(service member.Service, d *route.Dispatcher, now time.Time) {
-	for box, known := range p {
-		d.UpdatePeerDemand(box, known.demands[service], now)
-		d.UpdatePeerLoad(box, known.load, true, now)
+	for box, report := range p {
+		d.UpdatePeerDemand(box, report.demands[service], now)
+		d.UpdatePeerLoad(box, report.load, true, now)
 	}
 }
--- a/internal/direct/statusserver.go
+++ b/internal/direct/statusserver.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// statusInterval is how often an entry box tells the others what it has in
-	// flight, if that has changed. A request holds a place for a second or so.
+	// statusInterval is how often an entry box sends changes of its load to its followers. A request occupies a
+	// slot for about one second.
 	statusInterval = 50 * time.Millisecond
-	// maxRemoteMessagesPerSecond is how many such messages a box sends to those of its cell in other regions in
-	// a second, all together: they cross narrow links.
-	// With twelve others there is no need to tell them less often than the near ones.
+	// maxRemoteMessagesPerSecond bounds the status messages that a box sends per second to all followers of its
+	// load in other regions together, because they cross narrow links. With up to twelve such followers, each one
+	// receives messages as often as local followers do.
 	maxRemoteMessagesPerSecond = 240
-	// statusHeartbeat is how often it does if nothing has changed.
+	// statusHeartbeat is how often an entry box sends a status message if nothing has changed.
 	statusHeartbeat = 400 * time.Millisecond
-	// statusTimeout is after how long without a status a box counts as away.
+	// statusTimeout is the time without a status message after which a process counts as unreachable.
 	statusTimeout = 1500 * time.Millisecond
-	// maxBatchItems bounds the items of one batch.
+	// maxBatchItems bounds the number of items in one batch.
 	maxBatchItems = 256
 )
 
-// StatusServer is what an entry box tells other processes. It implements the drpc
-// service Fleet for entry boxes.
+// StatusServer streams the status and the facts of an entry box to other processes. It implements the drpc service
+// Fleet for entry boxes.
 type StatusServer struct {
 	wire.DRPCFleetUnimplementedServer
 
@@ -41,36 +41,38 @@
 	fleetState *FleetState
 	membership *Membership
 	tasks      *kernel.TaskGroup
-	// load and demands are what the box has in flight and is asked for.
+	// load returns the requests in flight at backend servers, demands the demand for each service.
 	load    func() route.Load
 	demands func() route.Demands
-	// rejectedCallers are the callers that were sent away and are to be told on a way, after a number of them.
-	rejectedCallers func(told uint64, to route.RelayDimension) (callers []route.RejectedCaller, now uint64)
-	// suspects are the requests under which servers have ended.
+	// rejectedCallers returns the rejected callers after a cursor to report in a relay dimension, and the next
+	// cursor.
+	rejectedCallers func(cursor uint64, to route.RelayDimension) (callers []route.RejectedCaller, next uint64)
+	// suspects are the requests under which servers have exited.
 	suspects *SuspectRequests
-	// readers are those that read the store, as far as the box knows.
+	// readers returns the boxes that are known to read the platform's store.
 	readers func() []*wire.StoreReader
-	// limitedSends is the number of requests sent to servers with a low rate limit; limitedSendSignal signals that some are unreported.
+	// limitedSends is the number of requests sent to servers with a low rate limit; limitedSendSignal signals that
+	// some are unreported.
 	limitedSends      atomic.Uint64
 	limitedSendSignal chan struct{}
 
-	// remoteFollowers is how many entry boxes of other regions follow what this one has in flight.
+	// remoteFollowers is the number of entry boxes in other regions that follow the load of this box.
 	remoteFollowers atomic.Int64
 
 	mu      sync.Mutex
 	ready   bool
 	leaving bool
-	// snapshot is what is to be told now, ticked is closed when that is looked at anew.
+	// snapshot is the latest snapshot; refreshed is closed when a newer one replaces it.
 	snapshot  *statusSnapshot
 	refreshed chan struct{}
-	// servicesConfig is the configuration as it was last told to agents.
+	// servicesConfig is the reduced configuration that was sent last; see reduceConfiguration.
 	servicesConfig state.Item
 	// done ends the streams.
 	done     chan struct{}
 	stopOnce sync.Once
 }
 
-// startMembership makes the box known to itself.
+// startMembership creates the membership with the record of this box.
 func (p *Process) startMembership() error {
 	p.membership = NewMembership(member.Record{
 		Box: p.box(), Role: member.RoleEntry, Region: p.region(), FailureDomain: member.FailureDomain(p.settings.FailureDomain),
@@ -80,13 +82,13 @@
 	return nil
 }
 
-// startStatus makes the box's own status.
+// startStatus creates the status server and registers it with the peer server.
 func (p *Process) startStatus() error {
 	p.status = &StatusServer{
 		clock: p.options.Clock, fleetState: p.fleetState, membership: p.membership, tasks: kernel.NewTaskGroup(),
 		load: func() route.Load { return p.callerServer.Load() }, demands: func() route.Demands { return p.callerServer.Demands() },
-		rejectedCallers: func(told uint64, to route.RelayDimension) ([]route.RejectedCaller, uint64) {
-			return p.callerServer.rejectedCallers.Since(told, to)
+		rejectedCallers: func(cursor uint64, to route.RelayDimension) ([]route.RejectedCaller, uint64) {
+			return p.callerServer.rejectedCallers.Since(cursor, to)
 		},
 		suspects:  p.suspects,
 		readers:   func() []*wire.StoreReader { return nil },
@@ -98,7 +100,7 @@
 	return p.services.Register(p.status)
 }
 
-// startBroadcast begins to look at what is to be told, once all that tells it is there.
+// startBroadcast starts to take status snapshots. It runs after the services that supply their contents have started.
 func (p *Process) startBroadcast() error {
 	p.status.refresh()
 	p.status.tasks.Go(p.status.refreshLoop)
@@ -122,7 +124,7 @@
 	s.membership.SetStatus(member.StatusLeaving)
 }
 
-// SetReady tells whether the box takes requests.
+// SetReady sets whether the box accepts requests. A leaving box stays not ready.
 func (s *StatusServer) SetReady(ready bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,14 +133,14 @@
 	}
 }
 
-// Ready reports whether the box takes requests.
+// Ready reports whether the box accepts requests.
 func (s *StatusServer) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ready
 }
 
-// summary returns what is told besides what is in flight and asked for.
+// summary returns the current state of the box apart from load, demand and store readers.
 func (s *StatusServer) summary() statusSummary {
 	s.mu.Lock()
 	ready, leaving := s.ready, s.leaving
@@ -150,40 +152,40 @@
 	}
 }
 
-// fullStatus returns the status without what is in flight and asked for.
+// fullStatus returns a full status message without load, demand and store readers.
 func (s *StatusServer) fullStatus() *wire.EntryStatus {
-	own, ages, extent := s.membership.Own(), agesToWire(s.fleetState.VersionAges()), s.fleetState.Watermarks()
+	own, ages, watermarks := s.membership.Own(), agesToWire(s.fleetState.VersionAges()), s.fleetState.Watermarks()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &wire.EntryStatus{
 		Box: string(own.Box), Region: string(own.Region), Peers: string(own.Peers),
 		Ready: s.ready, Leaving: s.leaving,
-		Revision: uint64(extent.Newest), Complete: uint64(extent.Complete),
+		Revision: uint64(watermarks.Newest), Complete: uint64(watermarks.Complete),
 		Ages: ages,
 	}
 }
 
-// Entry streams the box's status: whole at first and when the ages of versions have changed, in
-// between only what has changed of what is in flight and asked for, now and then nothing else.
-// An entry box that follows this one becomes known by that: the settings name only a few.
+// Entry streams the status of the box. The first message is full, and so is one after a change of the version
+// ages. The others contain only changes, or nothing but the heartbeat. An entry box that follows this one
+// sends its own record in the request, so that it becomes known here: the settings list only a few boxes.
 func (s *StatusServer) Entry(request *wire.FollowRequest, stream wire.DRPCFleet_EntryStream) error {
 	if request.Record != nil {
 		s.membership.Merge(itemsFromWire([]*wire.Item{request.Record}), request.Box)
 	}
-	far := request.Region != string(s.membership.Own().Region)
-	if far && request.Load {
+	remote := request.Region != string(s.membership.Own().Region)
+	if remote && request.Load {
 		s.remoteFollowers.Add(1)
 		defer s.remoteFollowers.Add(-1)
 	}
-	told, records := statusCursor{fullStatus: s.fullStatus}, memberCursor{membership: s.membership, all: request.Members}
+	cursor, records := statusCursor{fullStatus: s.fullStatus}, memberCursor{membership: s.membership, all: request.Members}
 	for {
-		now, ticked := s.current()
-		// A version that has just been named, a request under which a server has ended, and a request to a server with a low rate
-		// limit are reported without waiting for the interval.
-		urgent := told.at.IsZero() || now.ages != told.summary.ages || now.suspects != told.summary.suspects ||
-			request.Load && now.limitedSends != told.summary.limitedSends
-		if urgent || now.at.Sub(told.at) >= s.interval(far)-statusInterval/2 {
-			if status := s.nextMessage(request, &told, &records, now, far); status != nil {
+		snapshot, refreshed := s.current()
+		// A newly published version, a request under which a server has exited, and a request to a server with a
+		// low rate limit are reported without waiting for the interval.
+		urgent := cursor.sentAt.IsZero() || snapshot.ages != cursor.summary.ages || snapshot.suspects != cursor.summary.suspects ||
+			request.Load && snapshot.limitedSends != cursor.summary.limitedSends
+		if urgent || snapshot.takenAt.Sub(cursor.sentAt) >= s.interval(remote)-statusInterval/2 {
+			if status := s.nextMessage(request, &cursor, &records, snapshot, remote); status != nil {
 				if err := stream.Send(status); err != nil {
 					return err
 				}
@@ -194,55 +196,55 @@
 			return nil
 		case <-s.done:
 			return nil
-		case <-ticked:
+		case <-refreshed:
 		}
 	}
 }
 
-// nextMessage returns what one follower is to be told now; nil if nothing.
-func (s *StatusServer) nextMessage(request *wire.FollowRequest, told *statusCursor, records *memberCursor, now *statusSnapshot, far bool) *wire.EntryStatus {
-	summary := now.statusSummary
-	if far {
+// nextMessage returns the next message to one follower, nil if there is nothing to send.
+func (s *StatusServer) nextMessage(request *wire.FollowRequest, cursor *statusCursor, records *memberCursor, snapshot *statusSnapshot, remote bool) *wire.EntryStatus {
+	summary := snapshot.statusSummary
+	if remote {
 		summary.readers = nil
 	}
-	load, demands := now.load, now.demands
+	load, demands := snapshot.load, snapshot.demands
 	if !request.Load {
 		load, demands = nil, nil
 	}
 	changed := itemsToWire(records.next())
-	var sentAway []route.RejectedCaller
+	var rejected []route.RejectedCaller
 	if request.Load || request.Relay > 0 {
-		sentAway, told.rejected = s.rejectedCallers(told.rejected, route.RelayDimension(request.Relay))
+		rejected, cursor.rejected = s.rejectedCallers(cursor.rejected, route.RelayDimension(request.Relay))
 	}
 	var departures []fleet.Departure
-	if now.departures != told.departures {
-		departures, told.departures = s.fleetState.DeparturesSince(told.departures)
+	if snapshot.departures != cursor.departures {
+		departures, cursor.departures = s.fleetState.DeparturesSince(cursor.departures)
 	}
 	var limits []*wire.RateLimit
-	if now.rateLimits != told.rateLimits {
-		limits, told.rateLimits = s.fleetState.RateLimitsSince(told.rateLimits)
+	if snapshot.rateLimits != cursor.rateLimits {
+		limits, cursor.rateLimits = s.fleetState.RateLimitsSince(cursor.rateLimits)
 	}
 	var evidence []route.Evidence
-	evidence, told.suspects = s.suspects.Since(told.suspects)
-	status := told.nextMessage(summary, load, demands, now.at, len(changed)+len(sentAway)+len(departures)+len(limits)+len(evidence) > 0)
+	evidence, cursor.suspects = s.suspects.Since(cursor.suspects)
+	status := cursor.nextMessage(summary, load, demands, snapshot.takenAt, len(changed)+len(rejected)+len(departures)+len(limits)+len(evidence) > 0)
 	if status != nil {
 		status.RateLimits = limits
-		status.Members, status.SentAway, status.Departures = changed, rejectedToWire(sentAway, s.clock.Now()), departuresToWire(departures)
+		status.Members, status.SentAway, status.Departures = changed, rejectedToWire(rejected, s.clock.Now()), departuresToWire(departures)
 		status.Evidence = evidenceToWire(evidence, s.clock.Now())
 	}
 	return status
 }
 
-// statusSnapshot is what the box tells of itself at a moment.
+// statusSnapshot is the status of the box at one point in time.
 type statusSnapshot struct {
 	statusSummary
-	at      time.Time
+	takenAt time.Time
 	load    route.Load
 	demands route.Demands
 }
 
-// refreshLoop looks at what is to be told, for all streams at once: with a timer each, waking up took
-// most of the time of telling.
+// refreshLoop takes snapshots for all streams together: with a timer for each stream, wake-ups took most of the
+// time spent on status messages.
 func (s *StatusServer) refreshLoop(ctx context.Context) {
 	ticker := s.clock.NewTicker(statusInterval)
 	defer ticker.Stop()
@@ -269,9 +271,9 @@
 	}
 }
 
-// refresh makes the snapshot of this moment the one that is told.
+// refresh takes a new snapshot and wakes the streams.
 func (s *StatusServer) refresh() {
-	next := &statusSnapshot{statusSummary: s.summary(), at: s.clock.Now(), load: s.load(), demands: s.demands()}
+	next := &statusSnapshot{statusSummary: s.summary(), takenAt: s.clock.Now(), load: s.load(), demands: s.demands()}
 	next.readers = s.readers()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -280,23 +282,23 @@
 	s.refreshed = make(chan struct{})
 }
 
-// current returns what is to be told now, which must not be changed, and a channel that is closed
-// when there is something newer.
-func (s *StatusServer) current() (snapshot *statusSnapshot, ticked <-chan struct{}) {
+// current returns the latest snapshot, which must not be modified, and a channel that is closed when there is a
+// newer one.
+func (s *StatusServer) current() (snapshot *statusSnapshot, refreshed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.snapshot, s.refreshed
 }
 
-// interval is how often an entry box of this region, or of another one, is told.
-func (s *StatusServer) interval(far bool) time.Duration {
-	if !far {
+// interval returns the time between two status messages to a follower in this region or in another one.
+func (s *StatusServer) interval(remote bool) time.Duration {
+	if !remote {
 		return statusInterval
 	}
 	return max(statusInterval, time.Duration(s.remoteFollowers.Load())*time.Second/maxRemoteMessagesPerSecond)
 }
 
-// Facts streams the facts that changed after a cursor.
+// Facts streams the facts that have changed since the cursor in the request.
 func (s *StatusServer) Facts(request *wire.FactsRequest, stream wire.DRPCFleet_FactsStream) error {
 	cursor := state.Cursor{Instance: request.Instance, Sequence: request.Cursor}
 	ticker := s.clock.NewTicker(statusHeartbeat)
@@ -312,10 +314,10 @@
 		cursor = state.Cursor{Instance: message.Instance, Sequence: message.Cursor}
 		message.Entries, entries = entries, nil
 		if !request.Once {
-			// Entry boxes, which ask once, hear of departures and suspects with the status.
-			var left []fleet.Departure
-			left, departures = s.fleetState.DeparturesSince(departures)
-			message.Departures = departuresToWire(left)
+			// Entry boxes, which set Once, receive departures and evidence in status messages.
+			var newDepartures []fleet.Departure
+			newDepartures, departures = s.fleetState.DeparturesSince(departures)
+			message.Departures = departuresToWire(newDepartures)
 			var evidence []route.Evidence
 			evidence, suspects = s.suspects.Since(suspects)
 			message.Evidence = evidenceToWire(evidence, s.clock.Now())
@@ -340,10 +342,10 @@
 	}
 }
 
-// factsBatch returns the facts that changed after a cursor, without the entry boxes.
+// factsBatch returns a batch of the facts that have changed since a cursor, without entry box addresses.
 func (s *StatusServer) factsBatch(cursor state.Cursor, servicesOnly bool) *wire.FactsBatch {
-	// What is complete is read first: the facts then reach at least as far.
-	extent := s.fleetState.Watermarks()
+	// The watermarks are read before the facts, so that the facts are at least as recent.
+	watermarks := s.fleetState.Watermarks()
 	batch := s.fleetState.store.Since(cursor, maxBatchItems)
 	if servicesOnly {
 		s.reduceConfiguration(batch.Items)
@@ -352,13 +354,13 @@
 		Instance: batch.Next.Instance, Cursor: batch.Next.Sequence, Items: itemsToWire(batch.Items), Ages: agesToWire(s.fleetState.VersionAges()),
 	}
 	if len(batch.Items) < maxBatchItems {
-		message.Complete = uint64(extent.Complete)
+		message.Complete = uint64(watermarks.Complete)
 	}
 	return message
 }
 
-// reduceConfiguration replaces a configuration by what a process needs that serves no callers. All
-// agents ask for the same one, so the last is kept.
+// reduceConfiguration replaces a configuration among the items by the part that a process without callers needs.
+// The last result is cached, because all agents request the same one.
 func (s *StatusServer) reduceConfiguration(items []state.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -369,7 +371,7 @@
 		if s.servicesConfig.Version != item.Version {
 			reduced, err := fleet.ServicesOnly(item)
 			if err != nil {
-				s.fleetState.log.Error().Err(err).Msg("configuration told whole")
+				s.fleetState.log.Error().Err(err).Msg("reducing the configuration failed; sending it in full")
 				continue
 			}
 			s.servicesConfig = reduced
@@ -379,18 +381,18 @@
 }
 
 func itemsToWire(items []state.Item) []*wire.Item {
-	told := make([]*wire.Item, 0, len(items))
+	encoded := make([]*wire.Item, 0, len(items))
 	for _, item := range items {
-		told = append(told, &wire.Item{
+		encoded = append(encoded, &wire.Item{
 			Key: item.Key, Major: item.Version.Major, Minor: item.Version.Minor, Deleted: item.Deleted, Value: item.Value,
 		})
 	}
-	return told
+	return encoded
 }
 
-func itemsFromWire(told []*wire.Item) []state.Item {
-	items := make([]state.Item, 0, len(told))
-	for _, item := range told {
+func itemsFromWire(encoded []*wire.Item) []state.Item {
+	items := make([]state.Item, 0, len(encoded))
+	for _, item := range encoded {
 		items = append(items, state.Item{
 			Key: item.Key, Version: state.Version{Major: item.Major, Minor: item.Minor}, Deleted: item.Deleted, Value: item.Value,
 		})
@@ -398,15 +400,16 @@
 	return items
 }
 
-// EntryBox is another entry box as its status tells.
+// EntryBox is the last known status of another entry box.
 type EntryBox struct {
 	Box    member.BoxID
 	Region member.Region
 	Peers  member.Address
 	Ready  bool
-	// Watermarks is how far the box knows the store's changes.
+	// Watermarks is the box's position in the changes of the platform's store.
 	Watermarks Watermarks
-	LastSeen   time.Time
+	// LastSeen is the time at which the last status message was received.
+	LastSeen time.Time
 }
 
 func entryBoxFromWire(status *wire.EntryStatus, now time.Time) EntryBox {
@@ -416,7 +419,7 @@
 	}
 }
 
-// withUpdate is the box after a message that tells only what has changed.
+// withUpdate returns the box updated by a partial message.
 func (b EntryBox) withUpdate(status *wire.EntryStatus, now time.Time) EntryBox {
 	b.Ready, b.Watermarks, b.LastSeen = status.Ready && !status.Leaving, watermarksFromWire(status), now
 	return b
