--- a/internal/direct/attempt.go
+++ b/internal/direct/attempt.go
@@ -15,232 +15,231 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// outcome is what became of one attempt.
+// outcome is the outcome of one attempt.
 type outcome int
 
 const (
-	// outcomeDone is an answer that was passed on whole.
+	// outcomeDone means that the complete response was forwarded.
 	outcomeDone outcome = iota
-	// outcomeNotExecuted is an attempt that surely did not run.
+	// outcomeNotExecuted means that the server certainly did not run the request.
 	outcomeNotExecuted
-	// outcomeUnknown is an attempt that may have run and gave no answer.
+	// outcomeUnknown means that the request may have run and that no part of a response was forwarded.
 	outcomeUnknown
-	// outcomeStreamBroken is a stream that broke off after some events.
+	// outcomeStreamBroken means that a stream failed after some events were forwarded and can be resumed.
 	outcomeStreamBroken
-	// outcomeTruncated is an answer that broke off and can't go on.
+	// outcomeTruncated means that a response failed after a part of it was forwarded and can't be resumed.
 	outcomeTruncated
-	// outcomeCallerGone is a caller that left.
+	// outcomeCallerGone means that the caller disconnected.
 	outcomeCallerGone
 )
 
-// attempt sends the request to one server and passes its answer on.
-func (f *CallerServer) attempt(ctx context.Context, x *exchange, place *route.Reservation, guard *watchdog) (outcome, error) {
-	now := f.clock.Now()
+// attempt sends the request to one server and forwards the response.
+func (s *CallerServer) attempt(ctx context.Context, x *exchange, slot *route.Reservation, wd *watchdog) (outcome, error) {
+	now := s.clock.Now()
 	if now.After(x.deadline) {
-		place.Release(route.ResultAbandoned, now)
+		slot.Release(route.ResultAbandoned, now)
 		return outcomeNotExecuted, context.DeadlineExceeded
 	}
-	answer, err := f.pool.Send(ctx, f.upstreamRequest(x, place, now))
+	resp, err := s.pool.Send(ctx, s.upstreamRequest(x, slot, now))
 	if err != nil {
-		return f.sendFailed(x, place, guard.withCause(err))
+		return s.sendFailed(x, slot, wd.withCause(err))
 	}
 	x.attempts++
-	mark := f.protocol.ReadResponse(answer.Response)
-	if mark.NotExecuted {
-		answer.Discard()
+	meta := s.protocol.ReadResponse(resp.Response)
+	if meta.NotExecuted {
+		resp.Discard()
 		result := route.ResultRefused
-		if mark.Misdirected {
+		if meta.Misdirected {
 			result = route.ResultReplaced
 			x.misdirected++
 		}
-		f.finishAttempt(x, place, result, errNotExecuted)
+		s.finishAttempt(x, slot, result, errNotExecuted)
 		return outcomeNotExecuted, errNotExecuted
 	}
-	defer answer.Close()
+	defer resp.Close()
 	switch {
-	case answer.StatusCode < 300 && !mark.Signed || answer.Header.Get("Content-Encoding") != "":
-		f.finishAttempt(x, place, route.ResultFailed, errUnsigned)
+	case resp.StatusCode < 300 && !meta.Signed || resp.Header.Get("Content-Encoding") != "":
+		s.finishAttempt(x, slot, route.ResultFailed, errUnsigned)
 		return outcomeUnknown, errUnsigned
-	case answer.StatusCode >= 500 && f.mayRetry(x):
-		f.finishAttempt(x, place, route.ResultFailed, errServerFailed)
+	case resp.StatusCode >= 500 && s.mayRetry(x):
+		s.finishAttempt(x, slot, route.ResultFailed, errServerFailed)
 		return outcomeUnknown, errServerFailed
-	case x.started && answer.StatusCode != http.StatusOK:
-		f.finishAttempt(x, place, route.ResultFailed, errServerFailed)
+	case x.started && resp.StatusCode != http.StatusOK:
+		s.finishAttempt(x, slot, route.ResultFailed, errServerFailed)
 		return outcomeStreamBroken, errServerFailed
 	}
-	if x.route.Kind == fleet.KindStream && strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream") {
-		return f.forwardStream(x, place, answer, guard)
+	if x.route.Kind == fleet.KindStream && strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
+		return s.forwardStream(x, slot, resp, wd)
 	}
-	return f.forwardBody(x, place, answer)
+	return s.forwardBody(x, slot, resp)
 }
 
-// The errors of attempts.
+// Errors of attempts.
 var (
 	errNotExecuted  = errors.New("server refused the request without running it")
-	errUnsigned     = errors.New("answer is not signed or is encoded")
+	errUnsigned     = errors.New("response is unsigned or has a content encoding")
 	errServerFailed = errors.New("server failed the request")
 )
 
-// mayRetry reports whether another attempt may follow one that may have run.
-func (f *CallerServer) mayRetry(x *exchange) bool {
-	return x.route.Repeatable() && x.attempts < x.route.MaxAttempts && f.clock.Now().Before(x.deadline)
+// mayRetry reports whether the request may be sent again although it may have run.
+func (s *CallerServer) mayRetry(x *exchange) bool {
+	return x.route.Repeatable() && x.attempts < x.route.MaxAttempts && s.clock.Now().Before(x.deadline)
 }
 
-// upstreamRequest makes the request for one server.
-func (f *CallerServer) upstreamRequest(x *exchange, place *route.Reservation, now time.Time) *upstream.Request {
+// upstreamRequest returns the request to send to the server of a reservation.
+func (s *CallerServer) upstreamRequest(x *exchange, slot *route.Reservation, now time.Time) *upstream.Request {
 	header := x.request.Header.Clone()
 	upstream.RemoveHopByHopHeaders(header)
 	out := provider.OutboundMetadata{
-		Server: place.Server.ID, Deadline: x.deadline.Sub(now), LastEventID: x.lastEventID, Priority: -1,
+		Server: slot.Server.ID, Deadline: x.deadline.Sub(now), LastEventID: x.lastEventID, Priority: -1,
 	}
 	if x.organisation != nil {
 		out.Organisation = x.organisation.Name
 	}
 	request := &upstream.Request{
-		Address: place.Server.Address, ID: x.ID, Method: x.request.Method, Target: x.request.RequestURI, Host: x.request.Host,
+		Address: slot.Server.Address, ID: x.ID, Method: x.request.Method, Target: x.request.RequestURI, Host: x.request.Host,
 		Header: header, Body: x.body,
 		BeforeSend: func() error {
-			if f.isPastCutoff(x.service, place) {
+			if s.isPastCutoff(x.service, slot) {
 				return errPastCutoff
 			}
-			if f.quarantineDecision(x).Blocked {
+			if s.quarantineDecision(x).Blocked {
 				return route.ErrQuarantined
 			}
-			return place.Check(f.clock.Now())
+			return slot.Check(s.clock.Now())
 		},
-		OnResponse: func(head *http.Response) { f.handleSignals(x, place, head) },
+		OnResponse: func(resp *http.Response) { s.handleSignals(x, slot, resp) },
 	}
-	if service := f.fleetState.View().Service(x.service); service != nil && service.Engine != nil && len(service.Engine.Models) > 0 {
-		out.Priority = f.priority(x)
+	if service := s.fleetState.View().Service(x.service); service != nil && service.Engine != nil && len(service.Engine.Models) > 0 {
+		out.Priority = s.priority(x)
 		if x.started {
-			// Its reader waits for the next event; those that have not begun can wait
-			// longer.
+			// The reader is waiting for the next event. Requests without a response so far can wait longer.
 			out.Priority = 0
 		}
-		named := f.fleetState.View().PublishedVersions(service.Engine.Models[0])
-		newest := named.Newest()
-		if f.requiredVersion(named, now) > 0 || !newest.PublishedAt.IsZero() && place.Version == newest.Version {
-			// What is believed of its weights may be of the server's start before. On the newest ones it can't
-			// have gone on; on older ones it may have, which is no reason to refuse before they are barred.
-			out.Version = place.Version
+		published := s.fleetState.View().PublishedVersions(service.Engine.Models[0])
+		newest := published.Newest()
+		if s.requiredVersion(published, now) > 0 || !newest.PublishedAt.IsZero() && slot.Version == newest.Version {
+			// The known version may be that of an earlier incarnation of the server. A server with the newest
+			// version can't have got a newer one since, so the version is required. A server with an older
+			// version may have, so it is required only once older versions are past the cutoff.
+			out.Version = slot.Version
 		}
 	}
-	f.protocol.WriteRequest(header, out)
+	s.protocol.WriteRequest(header, out)
 	return request
 }
 
-// sendFailed tells what became of an attempt without an answer.
-func (f *CallerServer) sendFailed(x *exchange, place *route.Reservation, err error) (outcome, error) {
+// sendFailed handles an attempt that got no response.
+func (s *CallerServer) sendFailed(x *exchange, slot *route.Reservation, err error) (outcome, error) {
 	if x.request.Context().Err() != nil {
-		f.finishAttempt(x, place, route.ResultAbandoned, err)
+		s.finishAttempt(x, slot, route.ResultAbandoned, err)
 		return outcomeCallerGone, err
 	}
 	if isLocalAbort(err) && !upstream.MayHaveRun(err) {
-		// The box itself kept it from being sent, so the server is none the worse for it.
-		f.finishAttempt(x, place, route.ResultAbandoned, err)
+		// The box did not send the request, so the server is not at fault.
+		s.finishAttempt(x, slot, route.ResultAbandoned, err)
 		return outcomeNotExecuted, err
 	}
 	if !upstream.MayHaveRun(err) {
-		f.finishAttempt(x, place, route.ResultUnreachable, err)
-		f.pool.CloseIdle(place.Server.Address)
-		// No byte went out, so this was no attempt.
+		s.finishAttempt(x, slot, route.ResultUnreachable, err)
+		s.pool.CloseIdle(slot.Server.Address)
+		// No byte was sent, so this does not count as an attempt.
 		x.unreachable++
 		return outcomeNotExecuted, err
 	}
 	x.attempts++
-	f.failAttempt(x, place, err)
+	s.failAttempt(x, slot, err)
 	return outcomeUnknown, err
 }
 
-// isLocalAbort reports whether the box itself kept an attempt from being sent, or ended it.
+// isLocalAbort reports whether this box prevented or aborted an attempt.
 func isLocalAbort(err error) bool {
 	return errors.Is(err, errPastCutoff) || errors.Is(err, errNotStarted) || errors.Is(err, route.ErrLeaving) || errors.Is(err, route.ErrBackingOff) ||
 		errors.Is(err, route.ErrLimited) || errors.Is(err, route.ErrQuarantined)
 }
 
-// finishAttempt releases the place and notes the attempt.
-func (f *CallerServer) finishAttempt(x *exchange, place *route.Reservation, result route.Result, err error) {
-	now := f.clock.Now()
-	held := place.HeldFor(now)
-	place.Release(result, now)
-	f.metrics.attempts.WithLabelValues(string(x.service), result.String()).Inc()
+// finishAttempt releases the reservation and records the result of the attempt.
+func (s *CallerServer) finishAttempt(x *exchange, slot *route.Reservation, result route.Result, err error) {
+	now := s.clock.Now()
+	heldFor := slot.HeldFor(now)
+	slot.Release(result, now)
+	s.metrics.attempts.WithLabelValues(string(x.service), result.String()).Inc()
 	if result != route.ResultDone {
-		f.log.Info().Str("request", x.ID).Str("server", string(place.Server.ID)).Str("address", string(place.Server.Address)).
-			Uint64("weights", uint64(place.Version)).Str("result", result.String()).Dur("held_ms", held).
-			Str("content", x.contentID().String()).Dur("answering_ms", place.RespondingFor(now)).Str("last_event", x.lastEventID).Err(err).Msg("attempt ended")
+		s.log.Info().Str("request", x.ID).Str("server", string(slot.Server.ID)).Str("address", string(slot.Server.Address)).
+			Uint64("weights", uint64(slot.Version)).Str("result", result.String()).Dur("held_ms", heldFor).
+			Str("content", x.contentID().String()).Dur("answering_ms", slot.RespondingFor(now)).Str("last_event", x.lastEventID).Err(err).Msg("attempt ended")
 	}
 }
 
-// forwardHeader passes the status and the headers of an answer on.
-func (f *CallerServer) forwardHeader(x *exchange, answer *upstream.Response) {
+// forwardHeader forwards the status and the headers of a response.
+func (s *CallerServer) forwardHeader(x *exchange, resp *upstream.Response) {
 	header := x.writer.Header()
-	length := answer.Header["Content-Length"]
-	upstream.RemoveHopByHopHeaders(answer.Header)
-	for name, values := range answer.Header {
+	length := resp.Header["Content-Length"]
+	upstream.RemoveHopByHopHeaders(resp.Header)
+	for name, values := range resp.Header {
 		header[name] = values
 	}
 	if length != nil {
 		header["Content-Length"] = length
 	}
-	if f.leaving.Load() {
+	if s.leaving.Load() {
 		header.Set("Connection", "close")
 	}
-	x.writer.WriteHeader(answer.StatusCode)
-	x.started, x.ttfb = true, f.clock.Since(x.arrived)
-	f.metrics.ttfb.WithLabelValues(x.route.Name).Observe(x.ttfb.Seconds())
+	x.writer.WriteHeader(resp.StatusCode)
+	x.started, x.ttfb = true, s.clock.Since(x.arrived)
+	s.metrics.ttfb.WithLabelValues(x.route.Name).Observe(x.ttfb.Seconds())
 }
 
-// responseBufferSize is the size up to which an answer is read before it is passed on,
-// in bytes; one that breaks off before its end can then still be repeated.
+// responseBufferSize is the number of bytes of a response that are buffered before any of it is forwarded. A
+// response that fails within them can still be retried.
 const responseBufferSize = 64 << 10
 
-// forwardBody passes on an answer that is not a stream of events.
-func (f *CallerServer) forwardBody(x *exchange, place *route.Reservation, answer *upstream.Response) (outcome, error) {
-	place.Started(f.clock.Now())
-	buffer := make([]byte, 0, min(responseBufferSize, max(512, int(answer.ContentLength)+1)))
+// forwardBody forwards a response that is not an event stream.
+func (s *CallerServer) forwardBody(x *exchange, slot *route.Reservation, resp *upstream.Response) (outcome, error) {
+	slot.Started(s.clock.Now())
+	buffer := make([]byte, 0, min(responseBufferSize, max(512, int(resp.ContentLength)+1)))
 	var err error
 	for err == nil && len(buffer) < responseBufferSize {
 		if len(buffer) == cap(buffer) {
 			buffer = slices.Grow(buffer, len(buffer))
 		}
 		var n int
-		n, err = answer.Read(buffer[len(buffer):cap(buffer)])
+		n, err = resp.Read(buffer[len(buffer):cap(buffer)])
 		buffer = buffer[:len(buffer)+n]
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		return f.bodyFailed(x, place, err)
+		return s.bodyFailed(x, slot, err)
 	}
-	f.forwardHeader(x, answer)
-	if _, problem := x.writer.Write(buffer); problem != nil {
-		f.finishAttempt(x, place, route.ResultAbandoned, problem)
-		return outcomeCallerGone, problem
+	s.forwardHeader(x, resp)
+	if _, writeErr := x.writer.Write(buffer); writeErr != nil {
+		s.finishAttempt(x, slot, route.ResultAbandoned, writeErr)
+		return outcomeCallerGone, writeErr
 	}
 	if err == nil {
-		if _, err = io.Copy(x.writer, answer); err != nil {
-			f.failAttempt(x, place, err)
+		if _, err = io.Copy(x.writer, resp); err != nil {
+			s.failAttempt(x, slot, err)
 			return outcomeTruncated, err
 		}
 	}
-	f.recordSuccess(x)
-	f.finishAttempt(x, place, resultOf(answer), nil)
+	s.recordSuccess(x)
+	s.finishAttempt(x, slot, resultOf(resp), nil)
 	return outcomeDone, nil
 }
 
-// resultOf is how an answer that was passed on counts for its server.
-func resultOf(answer *upstream.Response) route.Result {
-	if answer.StatusCode >= 500 {
+// resultOf returns the result that a forwarded response counts as for its server.
+func resultOf(resp *upstream.Response) route.Result {
+	if resp.StatusCode >= 500 {
 		return route.ResultFailed
 	}
 	return route.ResultDone
 }
 
-// bodyFailed tells what became of an answer that broke off before any of it was
-// passed on.
-func (f *CallerServer) bodyFailed(x *exchange, place *route.Reservation, err error) (outcome, error) {
+// bodyFailed handles a response that failed before any of it was forwarded.
+func (s *CallerServer) bodyFailed(x *exchange, slot *route.Reservation, err error) (outcome, error) {
 	if x.request.Context().Err() != nil {
-		f.finishAttempt(x, place, route.ResultAbandoned, err)
+		s.finishAttempt(x, slot, route.ResultAbandoned, err)
 		return outcomeCallerGone, err
 	}
-	f.failAttempt(x, place, err)
+	s.failAttempt(x, slot, err)
 	return outcomeUnknown, err
 }
--- a/internal/direct/backoff.go
+++ b/internal/direct/backoff.go
@@ -14,13 +14,13 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// maxBackoff bounds the rest that a backend server may ask for. After it the server is asked once, so one that
-// wants more gets one request a minute; a time of years, or what was meant as a date, would lose it for good.
+// maxBackoff limits the backoff that a backend server may request. A server that needs longer gets one request
+// per minute. Without the limit, a backoff of years or a misread date would exclude the server permanently.
 const maxBackoff = time.Minute
 
-// serverBackoff keeps the rest that one server has asked this process for, over all of its calls.
+// serverBackoff holds the backoff that one server has requested, for all calls of this process.
 type serverBackoff struct {
-	// name is what the log calls the server.
+	// name identifies the server in the log.
 	name  string
 	clock clockwork.Clock
 	log   zerolog.Logger
@@ -29,69 +29,70 @@
 	until time.Time
 }
 
-// withBackoff makes a call unless the server rests, and notes the rest that it asks for.
-func withBackoff[T any](k *serverBackoff, call func() (T, error)) (T, error) {
-	if left := k.remaining(); left > 0 {
-		var none T
-		return none, &provider.BackoffError{Delay: left}
+// withBackoff makes a call unless the server is backing off, and records the backoff that the server requests.
+// While the server is backing off, it returns a BackoffError.
+func withBackoff[T any](b *serverBackoff, call func() (T, error)) (T, error) {
+	if delay := b.remaining(); delay > 0 {
+		var zero T
+		return zero, &provider.BackoffError{Delay: delay}
 	}
-	answer, err := call()
-	k.record(provider.RequestedBackoff(err))
-	return answer, err
+	result, err := call()
+	b.record(provider.RequestedBackoff(err))
+	return result, err
 }
 
-// remaining is for how long the server rests.
-func (k *serverBackoff) remaining() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.until.Sub(k.clock.Now())
+// remaining returns the remaining time of the backoff; it is not positive if there is none.
+func (b *serverBackoff) remaining() time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.until.Sub(b.clock.Now())
 }
 
-func (k *serverBackoff) record(asked time.Duration) {
-	if asked <= 0 {
+func (b *serverBackoff) record(requested time.Duration) {
+	if requested <= 0 {
 		return
 	}
-	rest := min(asked, maxBackoff)
-	k.log.Info().Str("dependency", k.name).Dur("asked_ms", asked).Dur("rest_ms", rest).Msg("server asks for rest")
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if until := k.clock.Now().Add(rest); until.After(k.until) {
-		k.until = until
+	backoff := min(requested, maxBackoff)
+	b.log.Info().Str("dependency", b.name).Dur("asked_ms", requested).Dur("rest_ms", backoff).Msg("server asks for rest")
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if until := b.clock.Now().Add(backoff); until.After(b.until) {
+		b.until = until
 	}
 }
 
-// serverWithBackoff is a model server whose calls fail with a BackoffError while it rests.
-func serverWithBackoff(server provider.ModelServer, k *serverBackoff) provider.ModelServer {
-	without := func(call func() error) error {
-		_, err := withBackoff(k, func() (struct{}, error) { return struct{}{}, call() })
+// serverWithBackoff returns a model server whose calls fail with a BackoffError during a requested backoff.
+func serverWithBackoff(server provider.ModelServer, b *serverBackoff) provider.ModelServer {
+	do := func(call func() error) error {
+		_, err := withBackoff(b, func() (struct{}, error) { return struct{}{}, call() })
 		return err
 	}
 	return provider.ModelServer{
 		Leaving: server.Leaving,
 		Report: func(ctx context.Context) (fleet.Report, error) {
-			return withBackoff(k, func() (fleet.Report, error) { return server.Report(ctx) })
+			return withBackoff(b, func() (fleet.Report, error) { return server.Report(ctx) })
 		},
 		Load: func(ctx context.Context, order provider.LoadOrder) error {
-			return without(func() error { return server.Load(ctx, order) })
+			return do(func() error { return server.Load(ctx, order) })
 		},
 		Stage: func(ctx context.Context, model fleet.ModelName, index int, data []byte) error {
-			return without(func() error { return server.Stage(ctx, model, index, data) })
+			return do(func() error { return server.Stage(ctx, model, index, data) })
 		},
 		ReadStaged: func(ctx context.Context, model fleet.ModelName, index int) ([]byte, error) {
-			return withBackoff(k, func() ([]byte, error) { return server.ReadStaged(ctx, model, index) })
+			return withBackoff(b, func() ([]byte, error) { return server.ReadStaged(ctx, model, index) })
 		},
 	}
 }
 
-// originWithBackoff is an origin whose calls fail with a BackoffError while it rests. Others draw meanwhile, of whom it has
-// asked nothing.
-func originWithBackoff(origin provider.ChunkOrigin, k *serverBackoff) provider.ChunkOrigin {
+// originWithBackoff returns an origin whose calls fail with a BackoffError during a requested backoff. Other
+// boxes keep fetching from the origin, as the backoff applies to this process only.
+func originWithBackoff(origin provider.ChunkOrigin, b *serverBackoff) provider.ChunkOrigin {
 	return provider.ChunkOrigin{
-		Manifest: func(ctx context.Context, at member.Address, model fleet.ModelName, version fleet.WeightsVersion) (*weights.Manifest, error) {
-			return withBackoff(k, func() (*weights.Manifest, error) { return origin.Manifest(ctx, at, model, version) })
+		Manifest: func(ctx context.Context, address member.Address, model fleet.ModelName, version fleet.WeightsVersion) (*weights.Manifest, error) {
+			return withBackoff(b, func() (*weights.Manifest, error) { return origin.Manifest(ctx, address, model, version) })
 		},
-		Chunk: func(ctx context.Context, at member.Address, model fleet.ModelName, version fleet.WeightsVersion, index int) ([]byte, error) {
-			return withBackoff(k, func() ([]byte, error) { return origin.Chunk(ctx, at, model, version, index) })
+		Chunk: func(ctx context.Context, address member.Address, model fleet.ModelName, version fleet.WeightsVersion, index int) ([]byte, error) {
+			return withBackoff(b, func() ([]byte, error) { return origin.Chunk(ctx, address, model, version, index) })
 		},
 	}
 }
--- a/internal/direct/backoff_test.go
+++ b/internal/direct/backoff_test.go
@@ -14,14 +14,15 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// An agent asked its server for a report ten times a second, and handed it pieces, whatever rest it had asked for.
+// The agent requests a report ten times per second and stages chunks. It must do neither during a backoff that
+// the server has requested.
 func TestAgentHonorsServerBackoff(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	calls, asks := 0, 3*time.Second
+	calls, delay := 0, 3*time.Second
 	server := serverWithBackoff(provider.ModelServer{
 		Report: func(context.Context) (fleet.Report, error) {
 			calls++
-			return fleet.Report{}, &provider.BackoffError{Delay: asks}
+			return fleet.Report{}, &provider.BackoffError{Delay: delay}
 		},
 		Load:       func(context.Context, provider.LoadOrder) error { calls++; return nil },
 		Stage:      func(context.Context, fleet.ModelName, int, []byte) error { calls++; return nil },
@@ -32,18 +33,18 @@
 	require.Equal(t, 3*time.Second, provider.RequestedBackoff(err))
 	clock.Advance(2 * time.Second)
 	_, err = server.Report(ctx)
-	require.Equal(t, time.Second, provider.RequestedBackoff(err), "what is left of it")
+	require.Equal(t, time.Second, provider.RequestedBackoff(err), "the rest of the backoff")
 	require.Error(t, server.Load(ctx, provider.LoadOrder{}))
 	require.Error(t, server.Stage(ctx, "m", 0, nil))
 	_, err = server.ReadStaged(ctx, "m", 0)
 	require.Error(t, err)
 	require.Equal(t, 1, calls)
 	clock.Advance(time.Second)
-	asks = time.Hour
+	delay = time.Hour
 	_, _ = server.Report(ctx)
 	require.Equal(t, 2, calls)
 	clock.Advance(maxBackoff)
-	require.NoError(t, server.Load(ctx, provider.LoadOrder{}), "no rest is for longer")
+	require.NoError(t, server.Load(ctx, provider.LoadOrder{}), "the backoff is limited to maxBackoff")
 }
 
 func TestAgentHonorsOriginBackoff(t *testing.T) {
--- a/internal/direct/callerserver.go
+++ b/internal/direct/callerserver.go
@@ -21,39 +21,37 @@
 )
 
 const (
-	// maxHeaderBytes bounds a caller's headers, in bytes, until the operators'
-	// limit is known.
+	// maxHeaderBytes limits the headers of a caller's request, in bytes, until the operators' limit is known.
 	maxHeaderBytes = 16 << 10
-	// defaultMaxBodyBytes bounds a caller's body where the operators give no limit.
+	// defaultMaxBodyBytes limits the body of a caller's request, in bytes, if the operators set no limit.
 	defaultMaxBodyBytes = 4 << 20
-	// noConfigurationRetryAfter is the shortest time after which a caller should return to a
-	// box that knows no configuration yet.
+	// noConfigurationRetryAfter is the minimum Retry-After of a box that has no configuration yet.
 	noConfigurationRetryAfter = 300 * time.Millisecond
-	// configurationWaitFraction is the part of its time for which a request waits for the box
-	// to know a configuration, maxConfigurationWait bounds it: readers of streams leave
-	// after two seconds without any event.
+	// configurationWaitFraction is the part of its deadline that a request waits for the first configuration of
+	// the box. maxConfigurationWait is the upper bound because readers of streams disconnect after two seconds
+	// without an event.
 	configurationWaitFraction = 0.3
 	maxConfigurationWait      = 1600 * time.Millisecond
-	// typicalModelDuration and typicalPlainDuration are how long requests hold a place until
-	// the mean is known.
+	// typicalModelDuration and typicalPlainDuration are the assumed times for which a request holds its slot
+	// until a mean has been measured.
 	typicalModelDuration = time.Second
 	typicalPlainDuration = 40 * time.Millisecond
-	// typicalModelTTFB and typicalPlainTTFB are how long answers take to begin until
-	// that is known.
+	// typicalModelTTFB and typicalPlainTTFB are the assumed times to first byte until a mean has been measured.
 	typicalModelTTFB = 120 * time.Millisecond
 	typicalPlainTTFB = 40 * time.Millisecond
-	// maxIdlePerServer bounds the unused connections kept to one server.
+	// maxIdlePerServer limits the idle connections to one server.
 	maxIdlePerServer = 16
-	// cutoffMargin is how long before the bound older weights no longer start a
-	// request: it covers hearing late of the version and a request on its way.
+	// cutoffMargin is subtracted from the version bound to get the age at which a version may no longer start
+	// requests. It covers the delay with which a box receives a publication and the time that a request is in
+	// transit.
 	cutoffMargin = time.Second
-	// slowCutoffMargin is the same for servers that were not seen to start at once.
+	// slowCutoffMargin replaces cutoffMargin for servers that were not observed to start requests promptly.
 	slowCutoffMargin = 2500 * time.Millisecond
-	// dispatcherUpdateInterval is how often time alone may change what servers may do.
+	// dispatcherUpdateInterval is the interval at which dispatchers are updated for the passage of time alone.
 	dispatcherUpdateInterval = 100 * time.Millisecond
 )
 
-// CallerServer answers callers.
+// CallerServer serves callers over HTTP.
 type CallerServer struct {
 	fleetState   *FleetState
 	protocol     provider.CallerProtocol
@@ -70,103 +68,105 @@
 	entries      atomic.Pointer[EntryBoxes]
 	service      *httpService
 	leaving      atomic.Bool
-	// leavingSince is when the box began to leave; it is set before leaving is.
+	// leavingSince is when the box began to leave. It is set before leaving.
 	leavingSince time.Time
 	active       atomic.Int64
-	// accepted counts the requests since the start, to see when callers have
-	// gone elsewhere.
+	// accepted is the number of requests since the start. Leave uses it to detect that callers have moved to
+	// other boxes.
 	accepted atomic.Int64
 	// onLimitedSend is called when a request is sent to a server with a low rate limit.
 	onLimitedSend func()
-	// rejectedCallers are the callers who were sent away.
+	// rejectedCallers are the callers that entry boxes have recently rejected.
 	rejectedCallers route.RejectedCallers
-	// suspects are the requests under which servers have ended, ends tells whether one has, answered what was answered lately.
+	// suspects are the requests during which backend servers exited. exitProbes check whether a server has
+	// exited. recentResponses are the requests that were recently answered.
 	suspects        *SuspectRequests
 	exitProbes      *exitProbes
 	recentResponses *recentResponses
 
 	mu sync.Mutex
-	// peerReports is what the other boxes of the cell have in flight and are asked for, of all services: a service that is
-	// configured later starts from it, as only what changes is told again.
+	// peerReports holds the load and the demands that the other boxes of the cell have reported, for all
+	// services. Reports contain only changes, so the dispatcher of a service that is configured later starts
+	// from this state.
 	peerReports peerReports
 	dispatchers map[member.Service]*route.Dispatcher
 	budgets     map[member.Service]*route.WindowRetryBudget
-	// models are what the servers of a service run, also of one that is configured no more: what was
-	// sent there before may not have begun.
+	// models are the models that the servers of each service run. Services that are no longer configured are
+	// kept because requests to them may still be awaiting their first byte.
 	models map[member.Service]fleet.ModelName
-	// callerTimeouts is how long the callers of a route wait, by the route's name.
+	// callerTimeouts holds an estimate of the caller timeout of each route, by route name.
 	callerTimeouts map[string]*route.CallerTimeoutEstimator
 }
 
-// retryLimits bound the attempts beyond the first of all entry boxes together.
+// retryLimits limits the retries of all entry boxes together.
 type retryLimits struct {
 	ratio  float64
 	extra  float64
 	window time.Duration
 }
 
-// startCallerServer answers callers.
+// startCallerServer creates the caller server and starts listening for callers.
 func (p *Process) startCallerServer() error {
 	direct := p.settings.Direct
-	f := &CallerServer{
+	s := &CallerServer{
 		fleetState: p.fleetState, protocol: p.options.Platform.Callers, clock: p.options.Clock, log: p.options.Log, metrics: p.metrics,
 		tasks: kernel.NewTaskGroup(), started: p.options.Clock.Now(), versionBound: time.Duration(direct.VersionBound),
 		retries: retryLimits{*direct.RetryRatio, *direct.RetryExtra, time.Duration(direct.RetryWindow)},
 		isLocal: p.isLocal, box: p.box(), suspects: p.suspects, recentResponses: newRecentResponses(), dispatchers: make(map[member.Service]*route.Dispatcher),
 		budgets: make(map[member.Service]*route.WindowRetryBudget), models: make(map[member.Service]fleet.ModelName), callerTimeouts: make(map[string]*route.CallerTimeoutEstimator),
 	}
-	f.onLimitedSend = p.status.noteLimitedSend
-	f.pool = upstream.NewPool(upstream.Options{
-		Clock: p.options.Clock, Matches: f.isMatchingResponse, MaxIdlePerServer: maxIdlePerServer, OnConnect: p.metrics.connections.Inc,
+	s.onLimitedSend = p.status.noteLimitedSend
+	s.pool = upstream.NewPool(upstream.Options{
+		Clock: p.options.Clock, Matches: s.isMatchingResponse, MaxIdlePerServer: maxIdlePerServer, OnConnect: p.metrics.connections.Inc,
 	})
-	f.exitProbes = newExitProbes(f.clock, f.pool)
-	p.callerServer = f
+	s.exitProbes = newExitProbes(s.clock, s.pool)
+	p.callerServer = s
 	router := newRouter()
-	router.Any("/*", f.serve)
+	router.Any("/*", s.serve)
 	var err error
-	if f.service, err = p.serveHTTP("callers", p.settings.Listen.Callers, router, maxHeaderBytes); err != nil {
+	if s.service, err = p.serveHTTP("callers", p.settings.Listen.Callers, router, maxHeaderBytes); err != nil {
 		return err
 	}
-	f.tasks.Go(f.updateDispatchers)
-	return p.services.Register(f)
+	s.tasks.Go(s.updateDispatchers)
+	return p.services.Register(s)
 }
 
-// isMatchingResponse reports whether an answer belongs to the request. A refusal that does
-// not name its request is taken for the one that is waiting.
-func (f *CallerServer) isMatchingResponse(answer *http.Response, id string) bool {
-	mark := f.protocol.ReadResponse(answer)
-	return mark.RequestID == id || mark.RequestID == "" && mark.NotExecuted
+// isMatchingResponse reports whether a response belongs to the request with an ID. A refusal without a request
+// ID is attributed to the pending request.
+func (s *CallerServer) isMatchingResponse(resp *http.Response, id string) bool {
+	meta := s.protocol.ReadResponse(resp)
+	return meta.RequestID == id || meta.RequestID == "" && meta.NotExecuted
 }
 
 // String returns the service's name.
-func (f *CallerServer) String() string { return "front" }
+func (s *CallerServer) String() string { return "front" }
 
 const (
-	// minLeaveDuration is how long a leaving box goes on taking new connections: some
-	// callers keep an address for three times the time that they are told.
+	// minLeaveDuration is the minimum time for which a leaving box accepts new connections. Some callers use an
+	// address for three times as long as its TTL.
 	minLeaveDuration = 3500 * time.Millisecond
-	// leaveAcceptDuration is how long a leaving box goes on taking requests. Those that come
-	// later might not end within its grace, and are sent elsewhere.
+	// leaveAcceptDuration is how long a leaving box accepts requests. Later ones might not finish within the
+	// grace period and are refused.
 	leaveAcceptDuration = 3 * time.Second
-	// leaveQuietPeriod is for how long no request must have come before it stops.
+	// leaveQuietPeriod is the time without any new request after which a leaving box stops.
 	leaveQuietPeriod = time.Second
-	// leaveReserve is kept of the time for the requests in progress.
+	// leaveReserve is the part of the grace period that is reserved for requests in progress.
 	leaveReserve = 2500 * time.Millisecond
 )
 
-// Leave goes on answering until callers have gone elsewhere, or too little is left of a time for the requests in progress.
-// The time is counted by the process's own clock: the end of the context is one of a clock that stands while the machine is
-// suspended.
-func (f *CallerServer) Leave(ctx context.Context, within time.Duration) {
-	f.leavingSince = f.clock.Now()
-	f.leaving.Store(true)
-	f.log.Info().Int64("active", f.active.Load()).Msg("leaving")
-	started, quietSince, seen := f.clock.Now(), f.clock.Now(), f.accepted.Load()
+// Leave keeps serving until callers have moved to other boxes or the remaining time is needed for the requests
+// in progress. It measures the time with the process's own clock, because the deadline of the context uses a
+// clock that stops while the machine is suspended.
+func (s *CallerServer) Leave(ctx context.Context, within time.Duration) {
+	s.leavingSince = s.clock.Now()
+	s.leaving.Store(true)
+	s.log.Info().Int64("active", s.active.Load()).Msg("leaving")
+	started, quietSince, lastAccepted := s.clock.Now(), s.clock.Now(), s.accepted.Load()
 	for ctx.Err() == nil {
-		sleep(ctx, f.clock, statusInterval)
-		now := f.clock.Now()
-		if accepted := f.accepted.Load(); accepted != seen {
-			seen, quietSince = accepted, now
+		sleep(ctx, s.clock, statusInterval)
+		now := s.clock.Now()
+		if accepted := s.accepted.Load(); accepted != lastAccepted {
+			lastAccepted, quietSince = accepted, now
 		}
 		if within-now.Sub(started) < leaveReserve {
 			return
@@ -177,216 +177,216 @@
 	}
 }
 
-// Stop finishes what is in progress.
-func (f *CallerServer) Stop(ctx context.Context) error {
-	err := f.service.Stop(ctx)
-	f.log.Info().Int64("active", f.active.Load()).Msg("callers are no longer answered")
-	return errors.Join(err, f.tasks.Stop(ctx))
+// Stop finishes the requests in progress.
+func (s *CallerServer) Stop(ctx context.Context) error {
+	err := s.service.Stop(ctx)
+	s.log.Info().Int64("active", s.active.Load()).Msg("stopped serving callers")
+	return errors.Join(err, s.tasks.Stop(ctx))
 }
 
-// Load returns what this box has in flight at each server.
-func (f *CallerServer) Load() route.Load {
+// Load returns the requests of this box that are in flight at each server.
+func (s *CallerServer) Load() route.Load {
 	load := make(route.Load)
-	for _, d := range f.dispatcherList() {
+	for _, d := range s.dispatcherList() {
 		maps.Copy(load, d.OwnLoad())
 	}
 	return load
 }
 
-// Demands returns what this box is asked for of each service.
-func (f *CallerServer) Demands() route.Demands {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now := f.clock.Now()
-	demands := make(route.Demands, len(f.dispatchers))
-	for name, d := range f.dispatchers {
+// Demands returns the demand at this box for each service.
+func (s *CallerServer) Demands() route.Demands {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.clock.Now()
+	demands := make(route.Demands, len(s.dispatchers))
+	for name, d := range s.dispatchers {
 		demands[name] = d.Demand(now)
 	}
 	return demands
 }
 
-func (f *CallerServer) dispatcherList() []*route.Dispatcher {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	all := make([]*route.Dispatcher, 0, len(f.dispatchers))
-	for _, d := range f.dispatchers {
+func (s *CallerServer) dispatcherList() []*route.Dispatcher {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	all := make([]*route.Dispatcher, 0, len(s.dispatchers))
+	for _, d := range s.dispatchers {
 		all = append(all, d)
 	}
 	return all
 }
 
-// MergePeerReport takes what another entry box has in flight and is asked for: at the servers
-// and of the services that are named or, if whole is set, of these and no others.
-func (f *CallerServer) MergePeerReport(box member.BoxID, load route.Load, demands route.Demands, whole bool, now time.Time) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	known := f.peerReports.merge(box, load, demands, whole)
-	for service, d := range f.dispatchers {
-		// A demand that stays is not told again, and counts for as long as its box is heard.
+// MergePeerReport merges the load and the demands that another entry box reports. If complete is set, the report
+// lists all of its servers and services; otherwise it lists only those that have changed.
+func (s *CallerServer) MergePeerReport(box member.BoxID, load route.Load, demands route.Demands, complete bool, now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	known := s.peerReports.merge(box, load, demands, complete)
+	for service, d := range s.dispatchers {
+		// An unchanged demand is not reported again and stays valid while the box sends reports.
 		d.UpdatePeerDemand(box, known.demands[service], now)
-		d.UpdatePeerLoad(box, load, whole, now)
+		d.UpdatePeerLoad(box, load, complete, now)
 	}
 }
 
-// MergeRejectedCallers takes the callers of whom another entry box tells on a way.
-func (f *CallerServer) MergeRejectedCallers(callers []route.RejectedCaller, from route.RelayDimension, now time.Time) {
-	f.rejectedCallers.Merge(callers, from, now)
+// MergeRejectedCallers merges the rejected callers that another entry box reports over a relay dimension.
+func (s *CallerServer) MergeRejectedCallers(callers []route.RejectedCaller, from route.RelayDimension, now time.Time) {
+	s.rejectedCallers.Merge(callers, from, now)
 }
 
-// UpdateServerState takes what an agent tells of the server at an address.
-func (f *CallerServer) UpdateServerState(address member.Address, state route.ServerState, now time.Time) {
-	view := f.fleetState.View()
+// UpdateServerState applies the state that an agent reports for the server at an address.
+func (s *CallerServer) UpdateServerState(address member.Address, state route.ServerState, now time.Time) {
+	view := s.fleetState.View()
 	for _, service := range view.Services() {
 		if service.Engine == nil {
 			continue
 		}
 		for _, server := range view.Servers(service.Name) {
 			if server.Address == address {
-				f.suspects.NoteServerStart(server.ID, state.Incarnation, "agent")
-				f.dispatcher(service.Name).UpdateServer(server.ID, state, now)
+				s.suspects.NoteServerStart(server.ID, state.Incarnation, "agent")
+				s.dispatcher(service.Name).UpdateServer(server.ID, state, now)
 			}
 		}
 	}
 }
 
-// dispatcher returns the dispatcher of a service.
-func (f *CallerServer) dispatcher(name member.Service) *route.Dispatcher {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	d, ok := f.dispatchers[name]
+// dispatcher returns the dispatcher of a service and creates it if necessary.
+func (s *CallerServer) dispatcher(name member.Service) *route.Dispatcher {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	d, ok := s.dispatchers[name]
 	if !ok {
-		service := f.fleetState.View().Service(name)
-		d = f.newDispatcher(name, service)
-		f.dispatchers[name] = d
-		f.updateDispatcher(name, d)
+		service := s.fleetState.View().Service(name)
+		d = s.newDispatcher(name, service)
+		s.dispatchers[name] = d
+		s.updateDispatcher(name, d)
 	}
 	return d
 }
 
-// newDispatcher returns a dispatcher that knows what others have told before. The lock must be held.
-func (f *CallerServer) newDispatcher(name member.Service, service *fleet.Service) *route.Dispatcher {
-	options := route.DispatcherOptions{TypicalHoldTime: typicalPlainDuration, TTFB: typicalPlainTTFB, Box: f.box, OnLimitedSend: f.onLimitedSend}
+// newDispatcher returns a dispatcher that starts from the reports of other boxes. The lock must be held.
+func (s *CallerServer) newDispatcher(name member.Service, service *fleet.Service) *route.Dispatcher {
+	options := route.DispatcherOptions{TypicalHoldTime: typicalPlainDuration, TTFB: typicalPlainTTFB, Box: s.box, OnLimitedSend: s.onLimitedSend}
 	if service != nil && service.Engine != nil {
 		options.TypicalHoldTime, options.TTFB, options.NeedsWeights = typicalModelDuration, typicalModelTTFB, true
 	}
 	d := route.NewDispatcher(options)
-	f.peerReports.replayTo(name, d, f.clock.Now())
+	s.peerReports.replayTo(name, d, s.clock.Now())
 	return d
 }
 
-func (f *CallerServer) retryBudget(name member.Service) *route.WindowRetryBudget {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	b, ok := f.budgets[name]
+func (s *CallerServer) retryBudget(name member.Service) *route.WindowRetryBudget {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	b, ok := s.budgets[name]
 	if !ok {
-		b = route.NewWindowRetryBudget(f.retries.ratio, f.retries.window)
-		f.budgets[name] = b
+		b = route.NewWindowRetryBudget(s.retries.ratio, s.retries.window)
+		s.budgets[name] = b
 	}
 	return b
 }
 
-// updateDispatchers follows the view and the time.
-func (f *CallerServer) updateDispatchers(ctx context.Context) {
+// updateDispatchers updates all dispatchers whenever the fleet state changes, and otherwise every
+// dispatcherUpdateInterval.
+func (s *CallerServer) updateDispatchers(ctx context.Context) {
 	for {
-		changed := f.fleetState.Changed()
-		f.suspects.Expire(f.clock.Now())
-		f.mu.Lock()
-		for _, service := range f.fleetState.View().Services() {
-			if f.dispatchers[service.Name] == nil && service.Origin == "" {
-				f.dispatchers[service.Name] = f.newDispatcher(service.Name, service)
+		changed := s.fleetState.Changed()
+		s.suspects.Expire(s.clock.Now())
+		s.mu.Lock()
+		for _, service := range s.fleetState.View().Services() {
+			if s.dispatchers[service.Name] == nil && service.Origin == "" {
+				s.dispatchers[service.Name] = s.newDispatcher(service.Name, service)
 			}
 		}
-		for name, d := range f.dispatchers {
-			f.updateDispatcher(name, d)
-			f.metrics.waiting.WithLabelValues(string(name)).Set(float64(d.QueueLen()))
-			f.metrics.limitedServers.WithLabelValues(string(name)).Set(float64(len(d.LimitedServers(f.clock.Now()))))
-			f.metrics.unclaimed.WithLabelValues(string(name)).Set(float64(d.Unclaimed(f.clock.Now())))
+		for name, d := range s.dispatchers {
+			s.updateDispatcher(name, d)
+			s.metrics.waiting.WithLabelValues(string(name)).Set(float64(d.QueueLen()))
+			s.metrics.limitedServers.WithLabelValues(string(name)).Set(float64(len(d.LimitedServers(s.clock.Now()))))
+			s.metrics.unclaimed.WithLabelValues(string(name)).Set(float64(d.Unclaimed(s.clock.Now())))
 		}
-		f.mu.Unlock()
+		s.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-f.clock.After(dispatcherUpdateInterval):
+		case <-s.clock.After(dispatcherUpdateInterval):
 		}
 	}
 }
 
-// updateDispatcher gives a dispatcher its servers and the weights that it may use. The lock must be
-// held, or an older view might be the last that is taken.
-func (f *CallerServer) updateDispatcher(name member.Service, d *route.Dispatcher) {
-	view, now := f.fleetState.View(), f.clock.Now()
+// updateDispatcher sets the servers of a dispatcher and the weights versions that it may use. The lock must be
+// held; otherwise an older view could overwrite a newer one.
+func (s *CallerServer) updateDispatcher(name member.Service, d *route.Dispatcher) {
+	view, now := s.fleetState.View(), s.clock.Now()
 	layers := 0
 	if service := view.Service(name); service != nil && service.Engine != nil {
 		layers = service.Engine.Layers
 		if len(service.Engine.Models) > 0 {
-			f.models[name] = service.Engine.Models[0]
+			s.models[name] = service.Engine.Models[0]
 		}
 	}
-	if f.suspects.awaitsRestarts() {
+	if s.suspects.awaitsRestarts() {
 		for _, server := range view.Servers(name) {
-			f.suspects.NoteServerStart(server.ID, server.Incarnation, "entry")
+			s.suspects.NoteServerStart(server.ID, server.Incarnation, "entry")
 		}
 	}
-	if model, ok := f.models[name]; ok {
-		d.RequireVersions(f.versionConstraints(view.PublishedVersions(model), now), now)
+	if model, ok := s.models[name]; ok {
+		d.RequireVersions(s.versionConstraints(view.PublishedVersions(model), now), now)
 	}
-	entries := f.entries.Load()
+	entries := s.entries.Load()
 	if entries == nil {
-		d.SetServers(view.Servers(name), layers, f.isLocal, now)
+		d.SetServers(view.Servers(name), layers, s.isLocal, now)
 		return
 	}
-	d.SetServers(entries.currentPlan().ownServers(view.Servers(name)), layers, f.isLocal, now)
+	d.SetServers(entries.currentPlan().ownServers(view.Servers(name)), layers, s.isLocal, now)
 	d.SetBoxCount(entries.CellSize())
 }
 
-// responseStartMargin is how long before the weights of a server are barred an answer must
-// have begun: a version may have been heard of late, and breaking off takes a while.
+// responseStartMargin is how long before the version bound a response must have started. It covers the delay
+// with which a box receives a publication and the time that it takes to abort a request.
 const responseStartMargin = 500 * time.Millisecond
 
-// versionConstraints is what a dispatcher may do with which weights now.
-func (f *CallerServer) versionConstraints(named fleet.PublishedVersions, now time.Time) route.VersionRequirements {
+// versionConstraints returns the weights versions that a dispatcher may use now.
+func (s *CallerServer) versionConstraints(published fleet.PublishedVersions, now time.Time) route.VersionRequirements {
 	return route.VersionRequirements{
-		Required: f.requiredVersion(named, now), Preferred: named.OldestAllowed(f.versionBound-slowCutoffMargin, now),
-		RequiredInFlight: named.OldestAllowed(f.versionBound-responseStartMargin, now), Newest: named.Newest().Version,
+		Required: s.requiredVersion(published, now), Preferred: published.OldestAllowed(s.versionBound-slowCutoffMargin, now),
+		RequiredInFlight: published.OldestAllowed(s.versionBound-responseStartMargin, now), Newest: published.Newest().Version,
 	}
 }
 
-// isPastCutoff reports whether the weights of a place may no longer start a request. They may have
-// become so since it was granted: a box that stood still wakes with what it was about to send. If so, the
-// dispatcher learns of it at once, and not within dispatcherUpdateInterval, so that nobody else is given the place.
-func (f *CallerServer) isPastCutoff(name member.Service, place *route.Reservation) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	model, ok := f.models[name]
-	if !ok || place.Version >= f.requiredVersion(f.fleetState.View().PublishedVersions(model), f.clock.Now()) {
+// isPastCutoff reports whether the version of a reservation may no longer start a request. The cutoff may have
+// passed since the reservation was made, for example if the machine was suspended. In this case the dispatcher
+// is updated at once, rather than within dispatcherUpdateInterval, so that no other request gets the slot.
+func (s *CallerServer) isPastCutoff(name member.Service, slot *route.Reservation) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	model, ok := s.models[name]
+	if !ok || slot.Version >= s.requiredVersion(s.fleetState.View().PublishedVersions(model), s.clock.Now()) {
 		return false
 	}
-	f.updateDispatcher(name, f.dispatchers[name])
+	s.updateDispatcher(name, s.dispatchers[name])
 	return true
 }
 
-// entryBoxCount is how many entry boxes there are, with this one, as far as it knows.
-func (f *CallerServer) entryBoxCount() int {
-	entries := f.entries.Load()
+// entryBoxCount returns the number of known entry boxes, including this one.
+func (s *CallerServer) entryBoxCount() int {
+	entries := s.entries.Load()
 	if entries == nil {
 		return 1
 	}
 	return entries.Up()
 }
 
-// requiredVersion is the oldest version of weights that may start a request now.
-func (f *CallerServer) requiredVersion(named fleet.PublishedVersions, now time.Time) fleet.WeightsVersion {
-	return named.OldestAllowed(f.versionBound-cutoffMargin, now)
+// requiredVersion returns the oldest weights version that may start a request now.
+func (s *CallerServer) requiredVersion(published fleet.PublishedVersions, now time.Time) fleet.WeightsVersion {
+	return published.OldestAllowed(s.versionBound-cutoffMargin, now)
 }
 
-// watchReady keeps the status in step with whether requests can be answered: a
-// box is ready once it knows a configuration.
-func (f *CallerServer) watchReady(status *StatusServer) func(ctx context.Context) {
+// watchReady returns a task that marks the box as ready once it has a configuration and is not leaving.
+func (s *CallerServer) watchReady(status *StatusServer) func(ctx context.Context) {
 	return func(ctx context.Context) {
 		for {
-			changed := f.fleetState.Changed()
-			if f.fleetState.View().Configuration != nil && !f.leaving.Load() {
+			changed := s.fleetState.Changed()
+			if s.fleetState.View().Configuration != nil && !s.leaving.Load() {
 				status.SetReady(true)
 			}
 			select {
--- a/internal/direct/callerserver_test.go
+++ b/internal/direct/callerserver_test.go
@@ -18,163 +18,163 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// After a loss of power all boxes start at once: none knows the others, and what they
-// used before still counts.
+// After a power failure all boxes start at once. None of them knows the others yet, and retries from before the
+// start still count, so each box may use only a small share of the retries.
 func TestNewBoxUsesSmallShareOfRetries(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	f := &CallerServer{suspects: noSuspectRequests(), recentResponses: newRecentResponses(), clock: clock, started: clock.Now(), retries: retryLimits{ratio: 0.2, extra: 100, window: 10 * time.Second}}
-	require.Less(t, f.retryExtra(), 2.0)
+	s := &CallerServer{suspects: noSuspectRequests(), recentResponses: newRecentResponses(), clock: clock, started: clock.Now(), retries: retryLimits{ratio: 0.2, extra: 100, window: 10 * time.Second}}
+	require.Less(t, s.retryExtra(), 2.0)
 	clock.Advance(9 * time.Second)
-	require.Less(t, f.retryExtra(), 2.0)
+	require.Less(t, s.retryExtra(), 2.0)
 	clock.Advance(time.Second)
-	require.InDelta(t, 100*retrySafety, f.retryExtra(), 1e-9)
+	require.InDelta(t, 100*retrySafety, s.retryExtra(), 1e-9)
 	members := newTestMembership(clock, "self")
 	for _, name := range []member.BoxID{"a", "b"} {
 		members.Merge(recordItems(t, member.Record{Box: name, Status: member.StatusUp}), "a")
 	}
-	f.entries.Store(&EntryBoxes{membership: members})
-	require.InDelta(t, 100*retrySafety/3, f.retryExtra(), 1e-9)
+	s.entries.Store(&EntryBoxes{membership: members})
+	require.InDelta(t, 100*retrySafety/3, s.retryExtra(), 1e-9)
 }
 
-// When many boxes are behind, they do not all ask the same one.
+// If many boxes are outdated, they must not all pull from the same box.
 func TestBoxesBehindPullFromDifferentBoxes(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	facts, _ := newTestFleetState()
-	e := &EntryBoxes{clock: clock, fleetState: facts, boxes: make(map[string]EntryBox)}
+	state, _ := newTestFleetState()
+	e := &EntryBoxes{clock: clock, fleetState: state, boxes: make(map[string]EntryBox)}
 	e.self.Region = "riga"
 	for _, name := range []string{"a", "b", "c"} {
 		e.boxes[name] = EntryBox{Box: member.BoxID(name), Region: "riga", Watermarks: Watermarks{Newest: 7}, LastSeen: clock.Now()}
 	}
 	e.boxes["far"] = EntryBox{Box: "far", Region: "kurzeme", Watermarks: Watermarks{Newest: 9}, LastSeen: clock.Now()}
-	asked := make(map[member.BoxID]bool)
+	picked := make(map[member.BoxID]bool)
 	for range 200 {
 		box, ok := e.pickNewer(nil)
 		require.True(t, ok)
-		asked[box.Box] = true
+		picked[box.Box] = true
 	}
-	require.Equal(t, map[member.BoxID]bool{"a": true, "b": true, "c": true}, asked)
+	require.Equal(t, map[member.BoxID]bool{"a": true, "b": true, "c": true}, picked)
 }
 
-// A box that had just started refused for good whoever had come back to it, some
-// milliseconds before it knew the configuration.
+// A box that has just started must not reject requests in the milliseconds before it has read its first
+// configuration, because callers do not retry after a rejection.
 func TestRequestWaitsForFirstConfiguration(t *testing.T) {
-	facts, clock := newTestFleetState()
-	f := &CallerServer{suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: facts, clock: clock}
+	state, clock := newTestFleetState()
+	s := &CallerServer{suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: state, clock: clock}
 	x := &exchange{InboundMetadata: provider.InboundMetadata{Deadline: 4 * time.Second}, request: httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/", http.NoBody)}
 	got := make(chan *fleet.View, 1)
-	go func() { got <- f.awaitConfiguration(x) }()
+	go func() { got <- s.awaitConfiguration(x) }()
 	require.NoError(t, clock.BlockUntilContext(t.Context(), 1))
-	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{Version: 3}}}, "store")
+	state.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{Version: 3}}}, "store")
 	require.EqualValues(t, 3, (<-got).Configuration.Version)
 
 	empty, clock := newTestFleetState()
-	f = &CallerServer{suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: empty, clock: clock}
-	go func() { got <- f.awaitConfiguration(x) }()
+	s = &CallerServer{suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: empty, clock: clock}
+	go func() { got <- s.awaitConfiguration(x) }()
 	require.NoError(t, clock.BlockUntilContext(t.Context(), 1))
 	clock.Advance(time.Duration(configurationWaitFraction * float64(x.Deadline)))
-	require.Nil(t, (<-got).Configuration, "it does not wait for longer than a part of its time")
+	require.Nil(t, (<-got).Configuration, "waits for a part of its deadline only")
 }
 
-// A request that came five seconds after a planned stop had begun was held for a place,
-// and cut when the grace was over.
+// A request that arrives late in a planned stop must be refused. If it waits for a slot instead, its response
+// is truncated at the end of the grace period.
 func TestLeavingBoxRefusesLateRequests(t *testing.T) {
-	facts, clock := newTestFleetState()
-	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{Version: 3}}}, "store")
-	f := &CallerServer{
-		suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: facts, clock: clock, metrics: NewMetrics(), log: zerolog.Nop(),
+	state, clock := newTestFleetState()
+	state.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{Version: 3}}}, "store")
+	s := &CallerServer{
+		suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: state, clock: clock, metrics: NewMetrics(), log: zerolog.Nop(),
 		protocol: provider.CallerProtocol{ReadRequest: func(*http.Request) provider.InboundMetadata { return provider.InboundMetadata{} }},
 	}
-	f.leavingSince = clock.Now()
-	f.leaving.Store(true)
-	ask := func() *httptest.ResponseRecorder {
+	s.leavingSince = clock.Now()
+	s.leaving.Store(true)
+	send := func() *httptest.ResponseRecorder {
 		recorder := httptest.NewRecorder()
 		request := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/none/", http.NoBody)
-		require.NoError(t, f.serve(echo.New().NewContext(request, recorder)))
+		require.NoError(t, s.serve(echo.New().NewContext(request, recorder)))
 		require.Equal(t, "close", recorder.Header().Get("Connection"))
 		return recorder
 	}
-	require.Equal(t, http.StatusNotFound, ask().Code, "a request that comes early is taken")
+	require.Equal(t, http.StatusNotFound, send().Code, "an early request is accepted")
 	clock.Advance(leaveAcceptDuration)
-	refused := ask()
+	refused := send()
 	require.Equal(t, http.StatusServiceUnavailable, refused.Code)
 	require.NotEmpty(t, refused.Header().Get("Retry-After"))
 }
 
-// One who had been refused counted as in time for another objective, and took places
-// from those who came for the first time. Taking the remaining time alone for it, those who
-// wait for less than others counted as refused ones.
+// The objective of a retry counts from the first try. If it counts from the retry, retries take slots from new
+// requests. If retries are recognised by their remaining time alone, new requests of callers with a short
+// timeout count as retries.
 func TestObjectiveCountsFromFirstTry(t *testing.T) {
-	facts, clock := newTestFleetState()
-	f := &CallerServer{suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: facts, clock: clock, log: zerolog.Nop(), metrics: NewMetrics(), callerTimeouts: make(map[string]*route.CallerTimeoutEstimator)}
-	come := func(target string, left time.Duration) (*exchange, *route.SlotRequest) {
+	state, clock := newTestFleetState()
+	s := &CallerServer{suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: state, clock: clock, log: zerolog.Nop(), metrics: NewMetrics(), callerTimeouts: make(map[string]*route.CallerTimeoutEstimator)}
+	newRequest := func(target string, timeout time.Duration) (*exchange, *route.SlotRequest) {
 		x := &exchange{
-			InboundMetadata: provider.InboundMetadata{Deadline: left}, arrived: clock.Now(), writer: httptest.NewRecorder(),
+			InboundMetadata: provider.InboundMetadata{Deadline: timeout}, arrived: clock.Now(), writer: httptest.NewRecorder(),
 			request: httptest.NewRequestWithContext(t.Context(), http.MethodPost, target, http.NoBody),
 			route:   &fleet.Route{Name: "draft", Objective: 400 * time.Millisecond, Timeout: 6 * time.Second},
 		}
-		f.setDeadline(x)
-		return x, f.slotRequest(x, nil, false)
+		s.setDeadline(x)
+		return x, s.slotRequest(x, nil, false)
 	}
 	for i := range route.CallerTimeoutMinSamples {
-		_, ask := come(fmt.Sprintf("/new/%d", i), 6*time.Second)
-		require.Equal(t, clock.Now().Add(400*time.Millisecond), ask.Objective)
-		require.False(t, ask.Retry)
+		_, req := newRequest(fmt.Sprintf("/new/%d", i), 6*time.Second)
+		require.Equal(t, clock.Now().Add(400*time.Millisecond), req.Objective)
+		require.False(t, req.Retry)
 	}
-	refused, _ := come("/a", 6*time.Second)
-	f.refuse(refused, "busy", 100*time.Millisecond)
+	refused, _ := newRequest("/a", 6*time.Second)
+	s.refuse(refused, "busy", 100*time.Millisecond)
 	clock.Advance(100 * time.Millisecond)
-	again, ask := come("/a", 5900*time.Millisecond)
-	require.True(t, ask.Retry)
-	require.Equal(t, clock.Now().Add(300*time.Millisecond), ask.Objective)
-	_, ask = come("/b", 5900*time.Millisecond)
-	require.False(t, ask.Retry, "another one, who waits for less")
-	require.Equal(t, clock.Now().Add(400*time.Millisecond), ask.Objective)
+	retry, req := newRequest("/a", 5900*time.Millisecond)
+	require.True(t, req.Retry)
+	require.Equal(t, clock.Now().Add(300*time.Millisecond), req.Objective)
+	_, req = newRequest("/b", 5900*time.Millisecond)
+	require.False(t, req.Retry, "a new request of a caller with a shorter timeout")
+	require.Equal(t, clock.Now().Add(400*time.Millisecond), req.Objective)
 
-	f.refuse(again, "busy", 1900*time.Millisecond)
+	s.refuse(retry, "busy", 1900*time.Millisecond)
 	clock.Advance(1900 * time.Millisecond)
-	_, ask = come("/a", 4*time.Second)
-	require.True(t, ask.Retry)
-	require.Equal(t, clock.Now().Add(-1600*time.Millisecond), ask.Objective, "from the first try of three")
+	_, req = newRequest("/a", 4*time.Second)
+	require.True(t, req.Retry)
+	require.Equal(t, clock.Now().Add(-1600*time.Millisecond), req.Objective, "from the first try of three")
 
-	_, ask = come("/c", 2*time.Second)
-	require.True(t, ask.Retry, "its box was killed, but nobody waits for so little")
-	require.Equal(t, clock.Now().Add(-3600*time.Millisecond), ask.Objective)
+	_, req = newRequest("/c", 2*time.Second)
+	require.True(t, req.Retry, "no caller has such a short timeout, so its box must have failed")
+	require.Equal(t, clock.Now().Add(-3600*time.Millisecond), req.Objective)
 }
 
-// One who was refused came back to another box, which took it for a new one: its request had
-// another id, and its remaining time lay among those of first requests.
+// A retry at another box has another request ID and may have as much time left as a new request. The box must
+// recognise it by the reports of its cell peers.
 func TestRejectedCallerIsKnownToCellPeers(t *testing.T) {
-	facts, clock := newTestFleetState()
-	newFront := func() *CallerServer {
-		return &CallerServer{suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: facts, clock: clock, log: zerolog.Nop(), metrics: NewMetrics(), callerTimeouts: make(map[string]*route.CallerTimeoutEstimator)}
+	state, clock := newTestFleetState()
+	newServer := func() *CallerServer {
+		return &CallerServer{suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: state, clock: clock, log: zerolog.Nop(), metrics: NewMetrics(), callerTimeouts: make(map[string]*route.CallerTimeoutEstimator)}
 	}
-	here, there := newFront(), newFront()
-	come := func(f *CallerServer, id, target string, left time.Duration) *exchange {
+	local, peer := newServer(), newServer()
+	newRequest := func(s *CallerServer, id, target string, timeout time.Duration) *exchange {
 		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, target, http.NoBody)
 		x := &exchange{
-			InboundMetadata: provider.InboundMetadata{ID: id, Key: "k", Deadline: left}, arrived: clock.Now(), request: request, writer: httptest.NewRecorder(),
+			InboundMetadata: provider.InboundMetadata{ID: id, Key: "k", Deadline: timeout}, arrived: clock.Now(), request: request, writer: httptest.NewRecorder(),
 			body: []byte("draft"), route: &fleet.Route{Name: "draft", Objective: 400 * time.Millisecond, Timeout: 6 * time.Second},
 		}
-		f.setDeadline(x)
+		s.setDeadline(x)
 		return x
 	}
-	first := come(here, "1", "/x/7", 5300*time.Millisecond)
+	first := newRequest(local, "1", "/x/7", 5300*time.Millisecond)
 	require.Zero(t, first.sinceFirstTry)
-	here.refuse(first, "busy", 100*time.Millisecond)
-	callers, _ := here.rejectedCallers.Since(0, route.RelayWithinCell)
-	there.MergeRejectedCallers(rejectedFromWire(rejectedToWire(callers, clock.Now()), clock.Now()), route.RelayWithinCell, clock.Now())
+	local.refuse(first, "busy", 100*time.Millisecond)
+	callers, _ := local.rejectedCallers.Since(0, route.RelayWithinCell)
+	peer.MergeRejectedCallers(rejectedFromWire(rejectedToWire(callers, clock.Now()), clock.Now()), route.RelayWithinCell, clock.Now())
 	clock.Advance(150 * time.Millisecond)
-	require.Equal(t, 150*time.Millisecond, come(there, "2", "/x/7", 5152*time.Millisecond).sinceFirstTry)
-	require.Equal(t, 150*time.Millisecond, come(here, "2", "/x/7", 5150*time.Millisecond).sinceFirstTry)
-	require.Zero(t, come(there, "3", "/x/8", 5150*time.Millisecond).sinceFirstTry, "another request")
-	require.Zero(t, come(there, "4", "/x/7", 5900*time.Millisecond).sinceFirstTry, "another caller")
+	require.Equal(t, 150*time.Millisecond, newRequest(peer, "2", "/x/7", 5152*time.Millisecond).sinceFirstTry)
+	require.Equal(t, 150*time.Millisecond, newRequest(local, "2", "/x/7", 5150*time.Millisecond).sinceFirstTry)
+	require.Zero(t, newRequest(peer, "3", "/x/8", 5150*time.Millisecond).sinceFirstTry, "another request")
+	require.Zero(t, newRequest(peer, "4", "/x/7", 5900*time.Millisecond).sinceFirstTry, "another caller")
 }
 
-// A stream that a swap had cut waited behind all that could be in time, and paused for
-// longer than its reader accepts.
+// A stream that a weight swap has truncated must not wait behind requests that can still meet their objective,
+// because its reader accepts only a limited gap between events.
 func TestResumedStreamObjectiveIsItsNextEvent(t *testing.T) {
-	facts, clock := newTestFleetState()
-	f := &CallerServer{suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: facts, clock: clock, callerTimeouts: make(map[string]*route.CallerTimeoutEstimator)}
+	state, clock := newTestFleetState()
+	s := &CallerServer{suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: state, clock: clock, callerTimeouts: make(map[string]*route.CallerTimeoutEstimator)}
 	x := &exchange{
 		arrived: clock.Now(), started: true, attempts: 1,
 		route: &fleet.Route{Name: "draft", Objective: 400 * time.Millisecond, MaxEventGap: 300 * time.Millisecond, Timeout: 6 * time.Second},
@@ -182,104 +182,107 @@
 	clock.Advance(2 * time.Second)
 	x.noteForwarded(clock.Now())
 	clock.Advance(50 * time.Millisecond)
-	ask := f.slotRequest(x, nil, false)
-	require.Equal(t, clock.Now().Add(250*time.Millisecond), ask.Objective)
-	require.True(t, ask.Resuming)
-	require.False(t, ask.Retry)
-	require.Less(t, ask.Priority, 0)
+	req := s.slotRequest(x, nil, false)
+	require.Equal(t, clock.Now().Add(250*time.Millisecond), req.Objective)
+	require.True(t, req.Resuming)
+	require.False(t, req.Retry)
+	require.Less(t, req.Priority, 0)
 }
 
-// newUnconfiguredCallerServer returns a front that knows no configuration yet.
+// newUnconfiguredCallerServer returns a caller server without a configuration.
 func newUnconfiguredCallerServer() (*CallerServer, *clockwork.FakeClock) {
-	facts, clock := newTestFleetState()
+	state, clock := newTestFleetState()
 	return &CallerServer{
-		fleetState: facts, clock: clock, log: zerolog.Nop(), metrics: NewMetrics(), suspects: noSuspectRequests(),
+		fleetState: state, clock: clock, log: zerolog.Nop(), metrics: NewMetrics(), suspects: noSuspectRequests(),
 		isLocal: func(member.FailureDomain) bool { return true }, dispatchers: make(map[member.Service]*route.Dispatcher),
 		models: make(map[member.Service]fleet.ModelName),
 	}, clock
 }
 
-// configureServices puts services in force, each with one server of its name.
-func configureServices(f *CallerServer, slots int, names ...member.Service) {
+// configureServices applies a configuration of services, each with one server of the same name.
+func configureServices(s *CallerServer, slots int, names ...member.Service) {
 	var services []fleet.Service
 	var servers []fleet.Server
 	for _, name := range names {
 		services = append(services, fleet.Service{Name: name})
 		servers = append(servers, fleet.Server{ID: fleet.ServerID(name), Service: name, Address: member.Address(name), Slots: slots})
 	}
-	f.fleetState.view.Store(fleet.EmptyView().WithConfiguration(&fleet.Configuration{Services: services}, 1).WithServers(servers))
+	s.fleetState.view.Store(fleet.EmptyView().WithConfiguration(&fleet.Configuration{Services: services}, 1).WithServers(servers))
 }
 
-// One in three requests was late while the fleet was asked for more than it could do, though some servers stood half empty: they had 3 to 21
-// requests of the 12 that they can run, and boxes took nearly all of them for having 10. The boxes had found each other
-// before they knew a configuration, and what each had in flight came once whole, when there was no service yet that it could be
-// counted for; after that only what changed was told, which says nothing without the whole.
+// A box receives the complete load of a peer only once, possibly before it has a configuration; later reports
+// contain only changes. The complete load must also count for services that are configured later. If it is
+// lost, the box underestimates the load of some servers and overestimates that of others: in an overload, one
+// request in three missed its objective, and servers with 12 slots held 3 to 21 requests while boxes assumed 10
+// for nearly all of them.
 func TestServiceConfiguredLaterCountsPeerLoad(t *testing.T) {
-	f, clock := newUnconfiguredCallerServer()
+	s, clock := newUnconfiguredCallerServer()
 	hasRoom := func(service member.Service) bool {
-		d := f.dispatcher(service)
+		d := s.dispatcher(service)
 		now := clock.Now()
-		place, waiting, _ := d.Submit(&route.SlotRequest{
+		slot, waiting, _ := d.Submit(&route.SlotRequest{
 			Arrived: now, Objective: now.Add(time.Second), Deadline: now.Add(2 * time.Second),
-		}, func(place *route.Reservation) { place.Release(route.ResultAbandoned, now) }, now)
+		}, func(slot *route.Reservation) { slot.Release(route.ResultAbandoned, now) }, now)
 		if waiting != nil {
 			d.Cancel(waiting)
 		}
-		if place != nil {
-			place.Release(route.ResultAbandoned, now)
+		if slot != nil {
+			slot.Release(route.ResultAbandoned, now)
 		}
-		return place != nil
+		return slot != nil
 	}
 	full, half := route.ServerLoad{Requests: 4}, route.ServerLoad{Requests: 2}
-	f.MergePeerReport("entry-2", route.Load{"maps": half, "tiles": full, "names": full}, nil, true, clock.Now())
-	f.MergePeerReport("entry-2", route.Load{"maps": full}, nil, false, clock.Now())
-	f.MergePeerReport("entry-3", route.Load{"names": full}, nil, false, clock.Now())
-	configureServices(f, 4, "maps")
-	require.False(t, hasRoom("maps"), "it was told twice, whole and what had changed")
-	f.MergePeerReport("entry-2", route.Load{"tiles": half, "names": {}}, nil, false, clock.Now())
-	configureServices(f, 4, "maps", "tiles", "names")
+	s.MergePeerReport("entry-2", route.Load{"maps": half, "tiles": full, "names": full}, nil, true, clock.Now())
+	s.MergePeerReport("entry-2", route.Load{"maps": full}, nil, false, clock.Now())
+	s.MergePeerReport("entry-3", route.Load{"names": full}, nil, false, clock.Now())
+	configureServices(s, 4, "maps")
+	require.False(t, hasRoom("maps"), "reported twice: completely and as a change")
+	s.MergePeerReport("entry-2", route.Load{"tiles": half, "names": {}}, nil, false, clock.Now())
+	configureServices(s, 4, "maps", "tiles", "names")
 	require.True(t, hasRoom("tiles"))
-	require.True(t, hasRoom("names"), "the first word of a box is whole; what comes before it is of no use")
-	f.MergePeerReport("entry-2", nil, nil, true, clock.Now())
-	require.True(t, hasRoom("maps"), "the box is no longer heard")
-	configureServices(f, 4, "maps", "roads")
+	require.True(t, hasRoom("names"), "changes before the first complete report are ignored")
+	s.MergePeerReport("entry-2", nil, nil, true, clock.Now())
+	require.True(t, hasRoom("maps"), "the box no longer reports")
+	configureServices(s, 4, "maps", "roads")
 	require.True(t, hasRoom("roads"))
 }
 
-// What is waited for elsewhere is told like what is in flight.
+// Peer demands that are reported before a service is configured must count like the peer load.
 func TestServiceConfiguredLaterCountsPeerDemand(t *testing.T) {
 	const slots = 2
-	f, clock := newUnconfiguredCallerServer()
-	f.MergePeerReport("entry-2", route.Load{}, route.Demands{"maps": {Late: 7}}, true, clock.Now())
-	f.MergePeerReport("entry-2", route.Load{}, route.Demands{"maps": {Late: 4}}, false, clock.Now())
-	configureServices(f, slots, "maps")
-	require.Equal(t, 4, waitingElsewhere(t, f.dispatcher("maps"), clock.Now(), slots))
+	s, clock := newUnconfiguredCallerServer()
+	s.MergePeerReport("entry-2", route.Load{}, route.Demands{"maps": {Late: 7}}, true, clock.Now())
+	s.MergePeerReport("entry-2", route.Load{}, route.Demands{"maps": {Late: 4}}, false, clock.Now())
+	configureServices(s, slots, "maps")
+	require.Equal(t, 4, waitingElsewhere(t, s.dispatcher("maps"), clock.Now(), slots))
 }
 
-// A demand that stays as it is is not told again; boxes forgot it after a second and a half.
+// An unchanged demand is not reported again. It must not expire after 1.5 s while the box that reported it is
+// live.
 func TestUnchangedPeerDemandLastsWhileBoxIsLive(t *testing.T) {
 	const slots = 2
-	f, clock := newUnconfiguredCallerServer()
-	configureServices(f, slots, "maps")
-	d := f.dispatcher("maps")
-	f.MergePeerReport("entry-2", route.Load{}, route.Demands{"maps": {Late: 4}}, true, clock.Now())
+	s, clock := newUnconfiguredCallerServer()
+	configureServices(s, slots, "maps")
+	d := s.dispatcher("maps")
+	s.MergePeerReport("entry-2", route.Load{}, route.Demands{"maps": {Late: 4}}, true, clock.Now())
 	for range 3 {
 		clock.Advance(time.Second)
-		f.MergePeerReport("entry-2", route.Load{}, route.Demands{}, false, clock.Now())
+		s.MergePeerReport("entry-2", route.Load{}, route.Demands{}, false, clock.Now())
 	}
 	require.Equal(t, 4, waitingElsewhere(t, d, clock.Now(), slots))
 	clock.Advance(2 * time.Second)
-	require.Zero(t, waitingElsewhere(t, d, clock.Now(), slots), "the box is not heard")
+	require.Zero(t, waitingElsewhere(t, d, clock.Now(), slots), "the box no longer reports")
 }
 
-// waitingElsewhere returns how many late requests wait at other boxes, as a refusal tells once the places are taken.
+// waitingElsewhere returns the number of late requests that wait at other boxes, as reported by a refusal once
+// all slots are in use.
 func waitingElsewhere(t *testing.T, d *route.Dispatcher, now time.Time, slots int) int {
 	t.Helper()
 	var err error
 	for range slots + 1 {
-		// The last place may belong to another box just now.
-		ask := &route.SlotRequest{Arrived: now, Objective: now.Add(time.Second), Deadline: now.Add(2 * time.Second), NoWait: true}
-		if _, _, err = d.Submit(ask, nil, now); err != nil {
+		// The last slot may be allotted to another box at this moment.
+		req := &route.SlotRequest{Arrived: now, Objective: now.Add(time.Second), Deadline: now.Add(2 * time.Second), NoWait: true}
+		if _, _, err = d.Submit(req, nil, now); err != nil {
 			break
 		}
 	}
--- a/internal/direct/content.go
+++ b/internal/direct/content.go
@@ -7,16 +7,18 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// contentOf identifies what a backend server gets of a request: method, host, path, whose it is and the body. Each try
-// of a caller carries another id, so this alone tells that the same is asked again. The hash can't be forged: nobody
-// can make a request that is taken for one of another organisation.
+// contentOf returns a hash of what a backend server receives: method, host, path, organisation (or API key) and
+// body. Each retry of a caller has another request ID, so only the content identifies repeated requests. The
+// hash is cryptographic, so no caller can create a request with the content ID of another organisation's
+// request.
 func contentOf(x *exchange) route.ContentID {
 	hash := sha256.New()
 	writeContent(hash, x)
 	return route.ContentID(hash.Sum(nil))
 }
 
-// writeContent writes what a backend server gets of a request to a hash, which never fails.
+// writeContent writes the parts of a request that a backend server receives to a hash. Writes to a hash never
+// fail.
 func writeContent(hash io.Writer, x *exchange) {
 	caller := string(x.Key)
 	if x.organisation != nil {
@@ -29,7 +31,7 @@
 	_, _ = hash.Write(x.body)
 }
 
-// contentID returns what a request's server gets of it. It is worked out when it is first asked for, as most requests never are.
+// contentID returns the content ID of the request. It is computed on first use, as most requests never need it.
 func (x *exchange) contentID() route.ContentID {
 	if x.content == nil {
 		content := contentOf(x)
--- a/internal/direct/crash_test.go
+++ b/internal/direct/crash_test.go
@@ -10,11 +10,13 @@
 	"time"
 )
 
-// crashDowntime is for how long a server is away that has crashed.
+// crashDowntime is how long a crashed server stays down.
 const crashDowntime = 200 * time.Millisecond
 
-// cmdCrashOnRequest lets every server crash that begins to run a request with a body, and start again a little later:
-// crashes BODY.
+// cmdCrashOnRequest makes every server crash when it starts to run a request with a body, and restart a little
+// later:
+//
+//	crashes BODY
 func (w *testDeployment) cmdCrashOnRequest(args []string) error {
 	for _, s := range w.servers {
 		s.CrashOnBody(args[0], func() { w.crash(s) })
@@ -22,7 +24,7 @@
 	return nil
 }
 
-// crash ends a server and starts it again under its id. It holds its weights as soon as it is back.
+// crash stops a server and restarts it under the same ID, with the same weights loaded.
 func (w *testDeployment) crash(s *testServer) {
 	version := s.Version()
 	if err := s.host.Kill(); err != nil {
@@ -39,12 +41,12 @@
 	})
 }
 
-// reachedServers is how many servers a request has reached.
+// reachedServers returns how many times a request has reached a server.
 func (w *testDeployment) reachedServers(path, body string) int {
 	count := 0
 	for _, s := range w.servers {
-		for _, visit := range s.ReceivedRequests() {
-			if visit.Path == path && visit.Body == body {
+		for _, received := range s.ReceivedRequests() {
+			if received.Path == path && received.Body == body {
 				count++
 			}
 		}
@@ -52,8 +54,10 @@
 	return count
 }
 
-// cmdCauseFaults sends a body to some entry boxes in turn until a number of servers have ended under it, or it is refused for long:
-// harm 3 /talk/1 BODY entry-1 entry-2.
+// cmdCauseFaults sends a body to entry boxes in turn until it has reached a number of servers, or until it is
+// refused as quarantined:
+//
+//	harm 3 /talk/1 BODY entry-1 entry-2
 func (w *testDeployment) cmdCauseFaults(args []string) error {
 	entries, tries := args[3:], 0
 	return w.await(func() error {
@@ -64,17 +68,17 @@
 		tries++
 		status, err := w.sendBody(entries[tries%len(entries)], args[1], args[2])
 		if err == nil && status != statusBlocked {
-			err = fmt.Errorf("%d servers have ended", before)
+			err = fmt.Errorf("the request has reached %d servers", before)
 		}
 		return err
 	})
 }
 
-// statusBlocked stands for a refusal that tells its caller to come back after more than a minute, as no refusal for want of a
-// place does.
+// statusBlocked stands for a refusal with a Retry-After of more than a minute. Refusals for lack of a slot
+// never have one.
 const statusBlocked = -http.StatusServiceUnavailable
 
-// sendBody sends a body to an entry box and returns the status of its answer.
+// sendBody sends a body to an entry box and returns the status of the response.
 func (w *testDeployment) sendBody(entry, path, body string) (int, error) {
 	response, err := w.requestBody(entry, fmt.Sprintf("harm-%d", w.requestCount.Add(1)), path, "key-1", body)
 	if err != nil {
@@ -88,7 +92,9 @@
 	return response.StatusCode, nil
 }
 
-// cmdCheckBlocked sends a body to entry boxes, each of which must refuse it without any server ending: barred /talk/1 BODY entry-1.
+// cmdCheckBlocked sends a body to entry boxes, each of which must refuse it without sending it to a server:
+//
+//	barred /talk/1 BODY entry-1
 func (w *testDeployment) cmdCheckBlocked(args []string) error {
 	before := w.reachedServers(args[0], args[1])
 	var findings []string
@@ -98,11 +104,11 @@
 			return err
 		}
 		if status != statusBlocked {
-			findings = append(findings, fmt.Sprintf("%s answered %d", entry, status))
+			findings = append(findings, fmt.Sprintf("%s responded with status %d", entry, status))
 		}
 	}
 	if reached := w.reachedServers(args[0], args[1]) - before; reached > 0 {
-		findings = append(findings, fmt.Sprintf("%d more servers ended, %d in all", reached, before+reached))
+		findings = append(findings, fmt.Sprintf("the request reached %d more servers, %d in all", reached, before+reached))
 	}
 	if len(findings) > 0 {
 		return errors.New(strings.Join(findings, ", "))
@@ -110,20 +116,25 @@
 	return nil
 }
 
-// cmdAwaitStatus sends a body to an entry box and checks the status of its answer, which may break off:
-// answered entry-1 /talk/1 BODY 200. A server that is just starting may keep it from being answered for a while.
+// cmdAwaitStatus sends a body to an entry box until the response, which may be truncated, has a status:
+//
+//	answered entry-1 /talk/1 BODY 200
+//
+// It retries because a server that is just starting may delay the response.
 func (w *testDeployment) cmdAwaitStatus(args []string) error {
 	return w.await(func() error {
 		status, err := w.sendBody(args[0], args[1], args[2])
 		if want := parseInt(args[3], 0); err == nil && status != want {
-			err = fmt.Errorf("%s answered %d, want %d", args[0], status, want)
+			err = fmt.Errorf("%s responded with status %d, want %d", args[0], status, want)
 		}
 		return err
 	})
 }
 
-// cmdCrashMidStream begins a stream at an entry box and lets its server crash once the stream has been running for a while:
-// running entry-1 /talk/1 BODY. The stream goes on elsewhere.
+// cmdCrashMidStream starts a stream at an entry box and crashes its server after crashDelay. The stream resumes
+// at another server:
+//
+//	running entry-1 /talk/1 BODY
 func (w *testDeployment) cmdCrashMidStream(args []string) error {
 	id := fmt.Sprintf("running-%d", w.requestCount.Add(1))
 	for _, s := range w.servers {
@@ -138,7 +149,8 @@
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("stream %s: status %d", id, response.StatusCode)
 	}
-	// The first event has come; a server is safe once it has given its answer for a while.
+	// The first event has arrived. The request becomes suspect only if the server crashes within a short time
+	// after it.
 	time.Sleep(crashDelay)
 	s, err := w.runner(id)
 	if err != nil {
@@ -149,8 +161,8 @@
 	return err
 }
 
-// runner returns the only server that has begun to run a request. It has to be found before anything is done to it: the request
-// may reach the next server within a millisecond.
+// runner returns the only server that has started to run a request. It must be called before the server is
+// changed, because the request may reach the next server within a millisecond.
 func (w *testDeployment) runner(id string) (*testServer, error) {
 	var runners []*testServer
 	for _, s := range w.servers {
@@ -159,14 +171,14 @@
 		}
 	}
 	if len(runners) != 1 {
-		return nil, fmt.Errorf("%d servers have begun to run %s, want one", len(runners), id)
+		return nil, fmt.Errorf("%d servers have started request %s, want 1", len(runners), id)
 	}
 	return runners[0], nil
 }
 
-// crashDelay is for how long a stream runs before its server crashes: longer than a box takes to be sure that it runs well,
-// shorter than the stream.
+// crashDelay is how long a stream runs before its server crashes: longer than the time after which a crash is
+// no longer attributed to the request, and shorter than the stream.
 const crashDelay = 300 * time.Millisecond
 
-// slowEventInterval is the time between two events of a stream meanwhile.
+// slowEventInterval is the time between two events of a stream in cmdCrashMidStream.
 const slowEventInterval = 60 * time.Millisecond
--- a/internal/direct/cutoff_test.go
+++ b/internal/direct/cutoff_test.go
@@ -28,20 +28,20 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// testVersionBound is how long after newer weights were named older ones may begin requests.
+// testVersionBound is how long older versions may start requests after a newer version was published.
 const testVersionBound = 8 * time.Second
 
-// slowLink is the way from an entry box to one server, on which bytes stay for long, as on a full link.
+// slowLink is a link from an entry box to one server that delays all bytes, like a congested link.
 type slowLink struct {
 	address member.Address
-	// requests gets what the link holds once a whole request is on it.
+	// requests receives the bytes on the link once they contain a complete request.
 	requests chan []byte
-	// closed gets how the sender ended the connection: io.EOF for a close in order, which promises that
-	// all that was sent arrives, and any other error for a reset, which does not.
+	// closed receives the error with which the sender closed the connection: io.EOF for an orderly close, which
+	// guarantees the delivery of all bytes that were sent, and another error for a reset, which does not.
 	closed chan error
 }
 
-// newSlowLink returns a link that takes connections, one after the other.
+// newSlowLink returns a link that accepts connections one after the other.
 func newSlowLink(t *testing.T) *slowLink {
 	t.Helper()
 	var config net.ListenConfig
@@ -61,15 +61,15 @@
 	return link
 }
 
-// receive takes what is sent on a connection until its end.
+// receive reads from a connection until it is closed.
 func (l *slowLink) receive(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	held, buffer := []byte(nil), make([]byte, 4096)
+	received, buffer := []byte(nil), make([]byte, 4096)
 	for {
 		n, err := conn.Read(buffer)
-		held = append(held, buffer[:n]...)
-		if strings.Contains(string(held), "\r\n\r\n") && len(l.requests) == 0 {
-			l.requests <- held
+		received = append(received, buffer[:n]...)
+		if strings.Contains(string(received), "\r\n\r\n") && len(l.requests) == 0 {
+			l.requests <- received
 		}
 		if err != nil {
 			l.closed <- err
@@ -78,11 +78,11 @@
 	}
 }
 
-// cutoffTest is an entry box before one server that has the first version of a model.
+// cutoffTest is an entry box with one server that has the first version of a model.
 type cutoffTest struct {
 	t      *testing.T
 	clock  *clockwork.FakeClock
-	facts  *FleetState
+	state  *FleetState
 	server *CallerServer
 	log    *bytes.Buffer
 }
@@ -90,39 +90,39 @@
 func newCutoffTest(t *testing.T, server member.Address) *cutoffTest {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
-	facts := NewFleetState(clock, zerolog.Nop(), NewMetrics())
-	w := &cutoffTest{t: t, clock: clock, facts: facts, log: new(bytes.Buffer)}
-	w.server = &CallerServer{
-		suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: facts, clock: clock, log: zerolog.New(w.log), metrics: NewMetrics(), tasks: kernel.NewTaskGroup(), versionBound: testVersionBound,
+	state := NewFleetState(clock, zerolog.Nop(), NewMetrics())
+	c := &cutoffTest{t: t, clock: clock, state: state, log: new(bytes.Buffer)}
+	c.server = &CallerServer{
+		suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: state, clock: clock, log: zerolog.New(c.log), metrics: NewMetrics(), tasks: kernel.NewTaskGroup(), versionBound: testVersionBound,
 		protocol: testProtocol(), retries: retryLimits{1, 100, 10 * time.Second}, isLocal: func(member.FailureDomain) bool { return true },
 		dispatchers: make(map[member.Service]*route.Dispatcher), budgets: make(map[member.Service]*route.WindowRetryBudget), models: make(map[member.Service]fleet.ModelName),
 		callerTimeouts: make(map[string]*route.CallerTimeoutEstimator),
 	}
-	w.server.pool = upstream.NewPool(upstream.Options{Clock: clock, Matches: func(*http.Response, string) bool { return true }})
+	c.server.pool = upstream.NewPool(upstream.Options{Clock: clock, Matches: func(*http.Response, string) bool { return true }})
 	engine := &fleet.Engine{Slots: 4, Models: []fleet.ModelName{"m"}, PrefillTokensPerSecond: 30000}
-	facts.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{
+	state.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{
 		Version: 1, Services: []fleet.Service{{Name: "llm", Engine: engine}},
 	}}}, "store")
-	facts.Apply([]fleet.Fact{
+	state.Apply([]fleet.Fact{
 		{Key: fleet.ServerKey("a"), Revision: 2, Server: &fleet.Server{
 			ID: "a", Service: "llm", Address: server, Slots: 4, Models: []fleet.LoadedModel{{Name: "m", Version: 1}},
 		}},
 	}, "store")
-	return w
+	return c
 }
 
-// publishSecond names the second version of the weights.
-func (w *cutoffTest) publishSecond() { w.facts.Apply([]fleet.Fact{publishedFact(2, 3)}, "store") }
+// publishSecond publishes the second version of the weights.
+func (c *cutoffTest) publishSecond() { c.state.Apply([]fleet.Fact{publishedFact(2, 3)}, "store") }
 
-// updateDispatcher follows what is believed and the time, as the box does again and again.
-func (w *cutoffTest) updateDispatcher() {
-	d := w.server.dispatcher("llm")
-	w.server.mu.Lock()
-	defer w.server.mu.Unlock()
-	w.server.updateDispatcher("llm", d)
+// updateDispatcher updates the dispatcher for the current state and time, as the box does periodically.
+func (c *cutoffTest) updateDispatcher() {
+	d := c.server.dispatcher("llm")
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	c.server.updateDispatcher("llm", d)
 }
 
-// testProtocol writes nothing but the version that must answer, and takes every answer.
+// testProtocol writes only the required version to requests and accepts every response.
 func testProtocol() provider.CallerProtocol {
 	return provider.CallerProtocol{
 		WriteRequest: func(header http.Header, out provider.OutboundMetadata) {
@@ -132,7 +132,7 @@
 	}
 }
 
-// awaitDone waits for an outcome, in real time and never to judge speed.
+// awaitDone waits until done is closed. The real-time limit only prevents a hanging test.
 func awaitDone(t *testing.T, done <-chan struct{}) {
 	t.Helper()
 	select {
@@ -142,107 +142,107 @@
 	}
 }
 
-// acquireSlot is a place on the server whose answer has not begun, and how often it was given up.
-func (w *cutoffTest) acquireSlot() (place *route.Reservation, givenUp *int) {
-	w.t.Helper()
-	place, err := w.server.acquireSlot(w.t.Context(), w.newExchange(), nil)
-	require.NoError(w.t, err)
-	givenUp = new(int)
-	place.OnVersionCutoff(func() { *givenUp++ })
-	return place, givenUp
+// acquireSlot returns a reservation whose response has not started, and the number of times that it was
+// aborted.
+func (c *cutoffTest) acquireSlot() (slot *route.Reservation, aborted *int) {
+	c.t.Helper()
+	slot, err := c.server.acquireSlot(c.t.Context(), c.newExchange(), nil)
+	require.NoError(c.t, err)
+	aborted = new(int)
+	slot.OnVersionCutoff(func() { *aborted++ })
+	return slot, aborted
 }
 
-// newExchange is one for a stream, of a caller who waits for a minute.
-func (w *cutoffTest) newExchange() *exchange {
-	request := httptest.NewRequestWithContext(w.t.Context(), http.MethodPost, "/draft/1", http.NoBody)
+// newExchange returns an exchange for a stream with a caller timeout of one minute.
+func (c *cutoffTest) newExchange() *exchange {
+	request := httptest.NewRequestWithContext(c.t.Context(), http.MethodPost, "/draft/1", http.NoBody)
 	x := &exchange{
-		InboundMetadata: provider.InboundMetadata{ID: "r", Deadline: time.Minute}, writer: httptest.NewRecorder(), request: request, service: "llm", arrived: w.clock.Now(),
+		InboundMetadata: provider.InboundMetadata{ID: "r", Deadline: time.Minute}, writer: httptest.NewRecorder(), request: request, service: "llm", arrived: c.clock.Now(),
 		route: &fleet.Route{Name: "draft", Kind: fleet.KindStream, MaxAttempts: 1, Objective: 400 * time.Millisecond, Timeout: time.Minute},
 	}
-	w.server.setDeadline(x)
+	c.server.setDeadline(x)
 	return x
 }
 
-// runRequest makes a request at the box; the channel is closed when it has its outcome.
-func (w *cutoffTest) runRequest() <-chan struct{} {
-	x, done := w.newExchange(), make(chan struct{})
+// runRequest runs a request at the box and returns a channel that is closed when the request has an outcome.
+func (c *cutoffTest) runRequest() <-chan struct{} {
+	x, done := c.newExchange(), make(chan struct{})
 	go func() {
 		defer close(done)
 		defer func() {
-			if problem := recover(); problem != nil && !errors.Is(problem.(error), http.ErrAbortHandler) {
-				panic(problem)
+			if recovered := recover(); recovered != nil && !errors.Is(recovered.(error), http.ErrAbortHandler) {
+				panic(recovered)
 			}
 		}()
-		w.server.run(x)
+		c.server.run(x)
 	}()
 	return done
 }
 
-// Users saw a request begin on weights that a newer version had replaced for longer than the
-// bound. In a play of a day with two versions a request had been sent to a server that was not
-// swapped yet; half a second before the bound the box gave it up and closed the connection in
-// order, but its bytes were still on the way. They came 0.5 s later, the close after them, and the
-// server began the request 0.1 s after the bound. A close in order promises the receiver all that was
-// written before; a reset does not.
+// An aborted request must not start on outdated weights after the version bound. Half a second before the
+// bound, a box aborted a request to a server that had not swapped yet. It closed the connection in order while
+// the bytes of the request were still in transit; they arrived 0.5 s later, followed by the close, and the
+// server started the request 0.1 s after the bound. An orderly close guarantees the delivery of all bytes that
+// were written; a reset does not.
 func TestAbortedRequestResetsConnection(t *testing.T) {
 	link := newSlowLink(t)
-	w := newCutoffTest(t, link.address)
-	w.publishSecond()
-	w.clock.Advance(testVersionBound - slowCutoffMargin - 100*time.Millisecond)
-	done := w.runRequest()
+	c := newCutoffTest(t, link.address)
+	c.publishSecond()
+	c.clock.Advance(testVersionBound - slowCutoffMargin - 100*time.Millisecond)
+	done := c.runRequest()
 	<-link.requests
-	w.clock.Advance(slowCutoffMargin + 100*time.Millisecond - responseStartMargin)
-	w.updateDispatcher()
+	c.clock.Advance(slowCutoffMargin + 100*time.Millisecond - responseStartMargin)
+	c.updateDispatcher()
 	awaitDone(t, done)
-	require.ErrorIs(t, <-link.closed, syscall.ECONNRESET, "the server gets what a close in order follows")
-	require.Contains(t, w.log.String(), errNotStarted.Error(), "the log tells why the attempt ended")
+	require.ErrorIs(t, <-link.closed, syscall.ECONNRESET, "an orderly close guarantees that the server receives the request")
+	require.Contains(t, c.log.String(), errNotStarted.Error(), "the log contains the cause of the abort")
 }
 
-// The time by which an answer must have begun was worked out once, as the request was sent. A
-// version that was named afterwards, or whose age was corrected, gave it up too late or never.
+// The time by which a response must start depends on the current version ages. If it is computed only when the
+// request is sent, a request is aborted too late or never after a version is published or its age is corrected.
 func TestRequestAbortUsesCurrentVersionAge(t *testing.T) {
-	for name, learn := range map[string]func(w *cutoffTest){
-		"named after the request was sent": func(w *cutoffTest) {
-			w.clock.Advance(time.Second)
-			w.publishSecond()
-			w.clock.Advance(testVersionBound - responseStartMargin)
+	for name, update := range map[string]func(c *cutoffTest){
+		"published after the request was sent": func(c *cutoffTest) {
+			c.clock.Advance(time.Second)
+			c.publishSecond()
+			c.clock.Advance(testVersionBound - responseStartMargin)
 		},
-		"named earlier than was thought": func(w *cutoffTest) {
-			w.publishSecond()
-			w.clock.Advance(time.Second)
-			w.facts.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: 4 * time.Second}}, "entry-2")
-			w.clock.Advance(testVersionBound - responseStartMargin - 4*time.Second)
+		"published earlier than assumed": func(c *cutoffTest) {
+			c.publishSecond()
+			c.clock.Advance(time.Second)
+			c.state.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: 4 * time.Second}}, "entry-2")
+			c.clock.Advance(testVersionBound - responseStartMargin - 4*time.Second)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			link := newSlowLink(t)
-			w := newCutoffTest(t, link.address)
-			done := w.runRequest()
+			c := newCutoffTest(t, link.address)
+			done := c.runRequest()
 			<-link.requests
-			learn(w)
-			w.updateDispatcher()
+			update(c)
+			c.updateDispatcher()
 			awaitDone(t, done)
 			require.ErrorIs(t, <-link.closed, syscall.ECONNRESET)
 		})
 	}
 }
 
-// A box that had stood still between choosing a server and sending the request sent it after the
-// bound to a server that was not swapped.
+// A box that is suspended between reserving a slot and sending the request must not send it to a server with
+// outdated weights after it resumes.
 func TestRequestIsNotSentPastCutoff(t *testing.T) {
 	link := newSlowLink(t)
-	w := newCutoffTest(t, link.address)
-	w.publishSecond()
-	x := w.newExchange()
+	c := newCutoffTest(t, link.address)
+	c.publishSecond()
+	x := c.newExchange()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	place, err := w.server.acquireSlot(ctx, x, nil)
+	slot, err := c.server.acquireSlot(ctx, x, nil)
 	require.NoError(t, err)
-	w.clock.Advance(testVersionBound - cutoffMargin)
-	x.deadline = w.clock.Now().Add(time.Minute)
+	c.clock.Advance(testVersionBound - cutoffMargin)
+	x.deadline = c.clock.Now().Add(time.Minute)
 	done := make(chan error, 1)
 	go func() {
-		_, err := w.server.attempt(ctx, x, place, w.server.startWatchdog(ctx, x, nil))
+		_, err := c.server.attempt(ctx, x, slot, c.server.startWatchdog(ctx, x, nil))
 		done <- err
 	}()
 	select {
@@ -251,46 +251,46 @@
 	case <-link.requests:
 		t.Fatal("the request was sent")
 	}
-	require.Empty(t, w.server.Load(), "the place is given back")
+	require.Empty(t, c.server.Load(), "the slot is released")
 }
 
-// The server was given a deadline that ended with its weights, so that every stream
-// that ran then was cut.
+// A response that has started may outlast the cutoff of its weights. A deadline for the server at the cutoff
+// would truncate every running stream.
 func TestStartedResponseContinuesPastCutoff(t *testing.T) {
-	w := newCutoffTest(t, "a")
-	place, givenUp := w.acquireSlot()
-	w.publishSecond()
-	w.clock.Advance(testVersionBound - time.Second)
-	place.Started(w.clock.Now())
-	w.clock.Advance(time.Minute)
-	w.updateDispatcher()
-	require.Zero(t, *givenUp)
+	c := newCutoffTest(t, "a")
+	slot, aborted := c.acquireSlot()
+	c.publishSecond()
+	c.clock.Advance(testVersionBound - time.Second)
+	slot.Started(c.clock.Now())
+	c.clock.Advance(time.Minute)
+	c.updateDispatcher()
+	require.Zero(t, *aborted)
 }
 
 func TestUnstartedResponseIsAbortedAtCutoff(t *testing.T) {
-	w := newCutoffTest(t, "a")
-	_, givenUp := w.acquireSlot()
-	w.publishSecond()
-	w.clock.Advance(testVersionBound - responseStartMargin - time.Millisecond)
-	w.updateDispatcher()
-	require.Zero(t, *givenUp)
-	w.clock.Advance(time.Millisecond)
-	w.updateDispatcher()
-	require.Equal(t, 1, *givenUp)
+	c := newCutoffTest(t, "a")
+	_, aborted := c.acquireSlot()
+	c.publishSecond()
+	c.clock.Advance(testVersionBound - responseStartMargin - time.Millisecond)
+	c.updateDispatcher()
+	require.Zero(t, *aborted)
+	c.clock.Advance(time.Millisecond)
+	c.updateDispatcher()
+	require.Equal(t, 1, *aborted)
 }
 
 func TestFinishedAttemptIsNotAborted(t *testing.T) {
-	w := newCutoffTest(t, "a")
-	place, givenUp := w.acquireSlot()
-	w.publishSecond()
-	place.Release(route.ResultDone, w.clock.Now())
-	w.clock.Advance(time.Minute)
-	w.updateDispatcher()
-	require.Zero(t, *givenUp)
+	c := newCutoffTest(t, "a")
+	slot, aborted := c.acquireSlot()
+	c.publishSecond()
+	slot.Release(route.ResultDone, c.clock.Now())
+	c.clock.Advance(time.Minute)
+	c.updateDispatcher()
+	require.Zero(t, *aborted)
 }
 
-// A request lay at a server that was then listed as leaving, or no longer at all. Its box looked only
-// at the servers of the list, and gave it up no more; such servers serve on for seconds.
+// A server that is leaving or no longer listed continues to serve for seconds. Requests to it must be aborted
+// at the cutoff like those to listed servers.
 func TestRequestToUnlistedServerIsAbortedAtCutoff(t *testing.T) {
 	leaving := func(id fleet.ServerID) fleet.Fact {
 		return fleet.Fact{Key: fleet.ServerKey(id), Revision: 9, Server: &fleet.Server{
@@ -300,86 +300,86 @@
 	back := leaving("a")
 	back.Revision, back.Server.Leaving = 10, false
 	for name, changes := range map[string][]fleet.Fact{
-		"stays":         nil,
-		"leaves":        {leaving("a")},
-		"is gone":       {{Key: fleet.ServerKey("a"), Revision: 9, Deleted: true}},
-		"is back":       {{Key: fleet.ServerKey("a"), Revision: 9, Deleted: true}, back},
-		"has no engine": {{Key: fleet.ConfigurationKey(), Revision: 9, Configuration: &fleet.Configuration{Version: 2, Services: []fleet.Service{{Name: "llm"}}}}},
-		"has no service": {
+		"remains listed":         nil,
+		"is leaving":             {leaving("a")},
+		"is removed":             {{Key: fleet.ServerKey("a"), Revision: 9, Deleted: true}},
+		"is listed again":        {{Key: fleet.ServerKey("a"), Revision: 9, Deleted: true}, back},
+		"service without engine": {{Key: fleet.ConfigurationKey(), Revision: 9, Configuration: &fleet.Configuration{Version: 2, Services: []fleet.Service{{Name: "llm"}}}}},
+		"service removed": {
 			{Key: fleet.ConfigurationKey(), Revision: 9, Configuration: &fleet.Configuration{Version: 2, Services: []fleet.Service{{Name: "maps"}}}},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newCutoffTest(t, "a:1")
-			w.publishSecond()
-			w.updateDispatcher()
-			_, givenUp := w.acquireSlot()
+			c := newCutoffTest(t, "a:1")
+			c.publishSecond()
+			c.updateDispatcher()
+			_, aborted := c.acquireSlot()
 			for _, change := range changes {
-				w.facts.Apply([]fleet.Fact{change}, "store")
-				w.updateDispatcher()
+				c.state.Apply([]fleet.Fact{change}, "store")
+				c.updateDispatcher()
 			}
-			w.clock.Advance(testVersionBound - responseStartMargin)
-			w.updateDispatcher()
-			require.NotZero(t, *givenUp)
+			c.clock.Advance(testVersionBound - responseStartMargin)
+			c.updateDispatcher()
+			require.NotZero(t, *aborted)
 		})
 	}
 }
 
-// The bound passed while the connection was being opened.
+// A request must not be sent if the cutoff passes while the connection is being opened.
 func TestRequestIsNotSentIfCutoffPassesDuringDial(t *testing.T) {
 	link := newSlowLink(t)
-	w := newCutoffTest(t, link.address)
-	w.server.pool = upstream.NewPool(upstream.Options{
-		Clock: w.clock, Matches: func(*http.Response, string) bool { return true }, OnConnect: func() { w.clock.Advance(testVersionBound) },
+	c := newCutoffTest(t, link.address)
+	c.server.pool = upstream.NewPool(upstream.Options{
+		Clock: c.clock, Matches: func(*http.Response, string) bool { return true }, OnConnect: func() { c.clock.Advance(testVersionBound) },
 	})
-	w.publishSecond()
-	w.clock.Advance(time.Second)
-	w.updateDispatcher()
-	done := w.runRequest()
+	c.publishSecond()
+	c.clock.Advance(time.Second)
+	c.updateDispatcher()
+	done := c.runRequest()
 	require.ErrorIs(t, <-link.closed, io.EOF)
 	require.Empty(t, link.requests)
-	w.clock.Advance(time.Minute)
+	c.clock.Advance(time.Minute)
 	awaitDone(t, done)
 }
 
-// A server whose box has no power is found by connections that do not come about; the box left it in use
-// when an attempt without progress, which was to be dialled still, had gone on elsewhere.
+// A server without power is detected by failed connections. A failure must also count if the attempt had
+// stalled while connecting and was continued at another server; otherwise the unreachable server stays in use.
 func TestUnreachableServerIsCountedAfterStalledAttempt(t *testing.T) {
 	for reason, unreachable := range map[error]int{errNoProgress: 1, errNotStarted: 0, errPastCutoff: 0} {
-		w := newCutoffTest(t, "a:1")
-		x := w.newExchange()
-		place, err := w.server.acquireSlot(t.Context(), x, nil)
+		c := newCutoffTest(t, "a:1")
+		x := c.newExchange()
+		slot, err := c.server.acquireSlot(t.Context(), x, nil)
 		require.NoError(t, err)
-		result, _ := w.server.sendFailed(x, place, fmt.Errorf("%w: %w", reason, upstream.ErrNotSent))
+		result, _ := c.server.sendFailed(x, slot, fmt.Errorf("%w: %w", reason, upstream.ErrNotSent))
 		require.Equal(t, outcomeNotExecuted, result)
 		require.Equal(t, unreachable, x.unreachable, reason)
 	}
 }
 
-// A service whose engine was configured later than its servers came was never asked for its weights.
+// The version cutoff must also apply to a service whose engine is configured after its servers were listed.
 func TestCutoffAppliesToServiceConfiguredAsEngineLater(t *testing.T) {
-	w := newCutoffTest(t, "a:1")
-	w.server.dispatchers["llm"] = w.server.newDispatcher("llm", &fleet.Service{Name: "llm"})
-	w.updateDispatcher()
-	w.publishSecond()
-	_, givenUp := w.acquireSlot()
-	w.clock.Advance(testVersionBound)
-	w.updateDispatcher()
-	require.Equal(t, 1, *givenUp)
+	c := newCutoffTest(t, "a:1")
+	c.server.dispatchers["llm"] = c.server.newDispatcher("llm", &fleet.Service{Name: "llm"})
+	c.updateDispatcher()
+	c.publishSecond()
+	_, aborted := c.acquireSlot()
+	c.clock.Advance(testVersionBound)
+	c.updateDispatcher()
+	require.Equal(t, 1, *aborted)
 }
 
-// A request that was not sent, as the weights of its server were barred, never came to that server again,
-// though it had newer ones a moment later.
+// A request that was not sent because of the cutoff must be able to use the same server again, which may have
+// newer weights a moment later.
 func TestUnsentRequestMayRetryServerWithNewerWeights(t *testing.T) {
 	link := newSlowLink(t)
-	w := newCutoffTest(t, link.address)
+	c := newCutoffTest(t, link.address)
 	swapped := fleet.Fact{Key: fleet.ServerKey("a"), Revision: 9, Server: &fleet.Server{
 		ID: "a", Service: "llm", Address: link.address, Slots: 4, Models: []fleet.LoadedModel{{Name: "m", Version: 2}},
 	}}
-	opened := 0
-	w.server.pool = upstream.NewPool(upstream.Options{Clock: w.clock, Matches: func(*http.Response, string) bool { return true }, OnConnect: func() {
-		if opened++; opened == 1 {
-			w.clock.Advance(testVersionBound)
+	connections := 0
+	c.server.pool = upstream.NewPool(upstream.Options{Clock: c.clock, Matches: func(*http.Response, string) bool { return true }, OnConnect: func() {
+		if connections++; connections == 1 {
+			c.clock.Advance(testVersionBound)
 		} else {
 			return
 		}
@@ -387,13 +387,13 @@
 			if err := <-link.closed; err == nil {
 				return
 			}
-			w.facts.Apply([]fleet.Fact{swapped}, "store")
-			w.updateDispatcher()
+			c.state.Apply([]fleet.Fact{swapped}, "store")
+			c.updateDispatcher()
 		}()
 	}})
-	w.publishSecond()
-	w.updateDispatcher()
-	w.runRequest()
+	c.publishSecond()
+	c.updateDispatcher()
+	c.runRequest()
 	select {
 	case <-link.requests:
 	case <-time.After(10 * time.Second):
@@ -401,9 +401,9 @@
 	}
 }
 
-// After all processes were killed nobody knows when a version was named that is there already. It was
-// taken to have been named five seconds before the start, whatever the bound: with one of 30 s older weights began
-// requests for 24 s on, and for all that time the version may have been named long ago.
+// After all processes were killed, no process knows when a present version was published; it may have been long
+// ago. The assumed publication time must be old enough for every version bound. With a publication 5 s before
+// the start and a bound of 30 s, older versions started requests for another 24 s.
 func TestVersionsPresentAtStartAreCutOffBeforeBoxIsSettled(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	loaded := &settings.Settings{Mode: settings.ModeDirect, Direct: settings.Direct{VersionBound: settings.Duration(30 * time.Second)}}
@@ -413,37 +413,37 @@
 	p.fleetState.Apply([]fleet.Fact{
 		{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{Version: 1}}, publishedFact(2, 2),
 	}, "store")
-	f := &CallerServer{suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: p.fleetState, clock: clock, versionBound: 30 * time.Second}
+	s := &CallerServer{suspects: noSuspectRequests(), recentResponses: newRecentResponses(), fleetState: p.fleetState, clock: clock, versionBound: 30 * time.Second}
 	clock.Advance(3 * time.Second)
-	require.EqualValues(t, 2, f.requiredVersion(p.fleetState.View().PublishedVersions("m"), clock.Now()))
+	require.EqualValues(t, 2, s.requiredVersion(p.fleetState.View().PublishedVersions("m"), clock.Now()))
 }
 
-// A server that has started again under its id may hold older weights than its entry, or the last word of its agent,
-// tells. A request that was sent there before the older ones were barred was not to be run by the newest alone, so
-// the server could begin it on older ones after the bound, and nothing gave it up.
+// A server that has restarted under the same ID may hold older weights than its entry or its agent reports. A
+// request that was sent before the cutoff without requiring the newest version could start on older weights
+// after the version bound, without being aborted.
 func TestRequestRequiresNewestVersionOnceServerHasIt(t *testing.T) {
 	for name, test := range map[string]struct {
 		holds fleet.WeightsVersion
 		want  string
 	}{
-		"the newest": {2, "2"},
-		"older ones": {1, "0"},
+		"newest version": {2, "2"},
+		"older version":  {1, "0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			link := newSlowLink(t)
-			w := newCutoffTest(t, link.address)
-			w.publishSecond()
-			w.facts.Apply([]fleet.Fact{{Key: fleet.ServerKey("a"), Revision: 4, Server: &fleet.Server{
+			c := newCutoffTest(t, link.address)
+			c.publishSecond()
+			c.state.Apply([]fleet.Fact{{Key: fleet.ServerKey("a"), Revision: 4, Server: &fleet.Server{
 				ID: "a", Service: "llm", Address: link.address, Slots: 4, Models: []fleet.LoadedModel{{Name: "m", Version: test.holds}},
 			}}}, "store")
-			w.updateDispatcher()
+			c.updateDispatcher()
 			ctx, cancel := context.WithCancel(t.Context())
-			x := w.newExchange()
+			x := c.newExchange()
 			x.request = x.request.WithContext(ctx)
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				w.server.run(x)
+				c.server.run(x)
 			}()
 			require.Contains(t, string(<-link.requests), "Expect: "+test.want+"\r\n")
 			cancel()
--- a/internal/direct/quarantineapi.go
+++ b/internal/direct/quarantineapi.go
@@ -11,50 +11,50 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// QuarantinedRequest is a request that is barred, as operators are shown it.
+// QuarantinedRequest is a blocked request in responses to operators.
 type QuarantinedRequest struct {
-	// Content names it, as in the log.
+	// Content is the content ID, as in the log.
 	Content string `json:"content"`
-	// Until is when the bar ends.
+	// Until is when the block ends.
 	Until time.Time `json:"until"`
-	// Servers are those that have ended under it, the first one first.
+	// Servers are the servers that exited during the request, oldest exit first.
 	Servers []string `json:"servers"`
 }
 
-// QuarantinePath is where an entry box answers operators about the requests that are barred, on its metrics address.
+// QuarantinePath is the path on the metrics address of an entry box that lists and lifts blocks of requests.
 const QuarantinePath = "/quarantine"
 
-// serveQuarantine lets operators see what is barred and lift a bar.
+// serveQuarantine registers the handlers that list blocked requests and lift a block.
 func (s *SuspectRequests) serveQuarantine(router *echo.Echo) {
 	router.GET(QuarantinePath, func(c echo.Context) error { return c.JSON(http.StatusOK, s.quarantinedRequests()) })
 	router.DELETE(QuarantinePath+"/:content", s.serveLift)
 }
 
-// quarantinedRequests returns the requests that are barred now.
+// quarantinedRequests returns the requests that are blocked now.
 func (s *SuspectRequests) quarantinedRequests() []QuarantinedRequest {
-	held := s.Blocked(s.clock.Now())
-	shown := make([]QuarantinedRequest, 0, len(held))
-	for _, request := range held {
+	blocked := s.Blocked(s.clock.Now())
+	listed := make([]QuarantinedRequest, 0, len(blocked))
+	for _, request := range blocked {
 		servers := make([]string, 0, len(request.Exits))
-		for _, start := range request.Exits {
-			servers = append(servers, string(start.Server))
+		for _, exit := range request.Exits {
+			servers = append(servers, string(exit.Server))
 		}
-		shown = append(shown, QuarantinedRequest{Content: request.Content.String(), Until: request.Until.UTC(), Servers: servers})
+		listed = append(listed, QuarantinedRequest{Content: request.Content.String(), Until: request.Until.UTC(), Servers: servers})
 	}
-	return shown
+	return listed
 }
 
-// serveLift lifts the bar of one request, on all boxes. Its next ends bar it again.
+// serveLift lifts the block of one request on all boxes. Further exits block the request again.
 func (s *SuspectRequests) serveLift(c echo.Context) error {
-	named, now := strings.ToLower(c.Param("content")), s.clock.Now()
+	content, now := strings.ToLower(c.Param("content")), s.clock.Now()
 	for _, request := range s.Blocked(now) {
-		if request.Content.String() == named {
-			s.log.Warn().Str("content", named).Str("from", c.RealIP()).Int("ends", len(request.Exits)).Msg("bar lifted by an operator")
+		if request.Content.String() == content {
+			s.log.Warn().Str("content", content).Str("from", c.RealIP()).Int("ends", len(request.Exits)).Msg("bar lifted by an operator")
 			s.Observe(route.Evidence{Content: request.Content, At: now}, "operator")
 			return c.JSON(http.StatusOK, s.quarantinedRequests())
 		}
 	}
 	return c.JSON(http.StatusNotFound, daemon.Problem{
-		Title: "no such request", Status: http.StatusNotFound, Detail: "no request of this content is barred here: " + named,
+		Title: "no such request", Status: http.StatusNotFound, Detail: "no request of this content is barred here: " + content,
 	})
 }
--- a/internal/direct/ratelimits.go
+++ b/internal/direct/ratelimits.go
@@ -12,22 +12,24 @@
 )
 
 const (
-	// limitTolerance is the relative change of a limit below which it is ignored, as each change rebuilds the view of all servers.
+	// limitTolerance is the relative change of a limit up to which the change is ignored, as each change rebuilds
+	// the view of all servers.
 	limitTolerance = 0.02
-	// limitRaiseDelay is the minimum time between a change of a limit and raising or clearing it. It prevents constant rebuilds for
-	// servers that advertise a different limit in each answer.
+	// limitRaiseDelay is the minimum time between a change of a limit and raising or clearing it. It prevents
+	// constant rebuilds for servers that advertise a different limit in each response.
 	limitRaiseDelay = time.Second
 	// maxRateLimits is the number of limits above which those of unlisted servers are dropped.
 	maxRateLimits = 1024
 )
 
-// observedRateLimit is the rate limit in one answer of a server; its limit is the zero value if the answer had none.
+// observedRateLimit is the rate limit in one response of a server. The limit is the zero value if the response
+// had none.
 type observedRateLimit struct {
 	// incarnation is the latest incarnation of the server that was known when the request was sent.
 	incarnation member.Incarnation
 	limit       fleet.RateLimit
-	// sent is when the request was sent, or zero if unknown; heard is when the answer arrived. The server wrote the answer
-	// between the two.
+	// sent is when the request was sent, or zero if unknown. received is when the response arrived. The server
+	// wrote the response between the two.
 	sent, received time.Time
 }
 
@@ -36,7 +38,8 @@
 	observedRateLimit
 	// changed is when the limit last changed; since is when the server last went from unlimited to limited.
 	changed, since time.Time
-	// from is the source of the observation; number is the position of the change in the order in which this box recorded them.
+	// from is the source of the observation. seq is the position of the change in the order in which this box
+	// recorded changes.
 	from string
 	seq  uint64
 }
@@ -44,7 +47,7 @@
 // rateLimits holds the current rate limit of each server that has ever advertised one.
 type rateLimits struct {
 	byServer map[fleet.ServerID]*rateLimit
-	// seq is the number of the latest change.
+	// seq is the sequence number of the latest change.
 	seq uint64
 }
 
@@ -52,8 +55,9 @@
 	return rateLimits{byServer: make(map[fleet.ServerID]*rateLimit)}
 }
 
-// record records an observation and reports whether it changes the limit. Answers can arrive out of order: if the intervals
-// from sent to heard of two observations overlap, the lower limit is kept until one is known to be later.
+// record records an observation and reports whether it changes the limit. Responses can arrive out of order: if
+// the intervals from sent to received of two observations overlap, the lower limit is kept until one of them is
+// known to be later.
 func (r *rateLimits) record(id fleet.ServerID, observed observedRateLimit, from string) bool {
 	known, ok := r.byServer[id]
 	switch {
@@ -92,11 +96,11 @@
 	return max(a.PerSecond, b.PerSecond)*(1-limitTolerance) <= min(a.PerSecond, b.PerSecond)
 }
 
-// limitOf returns the limit of a server. A limit recorded for an earlier incarnation than its entry or started applies only if the
-// later incarnation was already running when the limit was heard.
+// limitOf returns the limit of a server. A limit that was recorded for an incarnation earlier than the listed
+// one or started applies only if the later incarnation was already running when the limit was received.
 func (r *rateLimits) limitOf(server *fleet.Server, started member.Incarnation) fleet.RateLimit {
-	known, start := r.byServer[server.ID], max(server.Incarnation, started)
-	if known != nil && (start <= known.incarnation || fleet.WasRunning(start, known.received)) {
+	known, latest := r.byServer[server.ID], max(server.Incarnation, started)
+	if known != nil && (latest <= known.incarnation || fleet.WasRunning(latest, known.received)) {
 		return known.limit
 	}
 	return fleet.RateLimit{}
@@ -119,49 +123,51 @@
 	}
 }
 
-// ObserveRateLimit records the rate limit in an answer that has just arrived, and reports whether it has changed. Sent is when the
-// request was sent, or zero if unknown. Answers to requests sent to an earlier start than the latest known one are ignored.
-func (f *FleetState) ObserveRateLimit(server fleet.ServerID, start member.Incarnation, limit fleet.RateLimit, sent time.Time, from string) bool {
+// ObserveRateLimit records the rate limit in a response that has just arrived, and reports whether the limit
+// has changed. Sent is when the request was sent, or zero if unknown. Responses to requests to an earlier
+// incarnation than the latest known one are ignored.
+func (f *FleetState) ObserveRateLimit(server fleet.ServerID, incarnation member.Incarnation, limit fleet.RateLimit, sent time.Time, from string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if start < f.latestIncarnation(server) {
+	if incarnation < f.latestIncarnation(server) {
 		return false
 	}
-	if !f.recordRateLimit(server, observedRateLimit{incarnation: start, limit: limit, sent: sent, received: f.clock.Now()}, from) {
+	if !f.recordRateLimit(server, observedRateLimit{incarnation: incarnation, limit: limit, sent: sent, received: f.clock.Now()}, from) {
 		return false
 	}
 	f.refreshServers()
 	return true
 }
 
-// latestIncarnation returns the latest known start of a server. The lock must be held.
+// latestIncarnation returns the latest known incarnation of a server. The lock must be held.
 func (f *FleetState) latestIncarnation(server fleet.ServerID) member.Incarnation {
 	return max(f.servers[server].Incarnation, f.departures.incarnations[server])
 }
 
 // MergeRateLimits records the rate limits that another entry box reports.
-func (f *FleetState) MergeRateLimits(told []*wire.RateLimit, from string) {
-	if len(told) == 0 {
+func (f *FleetState) MergeRateLimits(reported []*wire.RateLimit, from string) {
+	if len(reported) == 0 {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	learned := false
-	for _, limit := range told {
+	changed := false
+	for _, limit := range reported {
 		if !(limit.PerSecond >= 0) || math.IsInf(limit.PerSecond, 0) {
 			f.log.Warn().Str("server", limit.Server).Str("from", from).Float64("per_second", limit.PerSecond).Msg("invalid rate limit ignored")
 			continue
 		}
 		if f.recordRateLimit(fleet.ServerID(limit.Server), rateLimitFromWire(limit, f.clock.Now()), from) {
-			learned = true
+			changed = true
 		}
 	}
-	if learned {
+	if changed {
 		f.refreshServers()
 	}
 }
 
-// recordRateLimit records an observation, logs it if the limit has changed, and reports whether it has. The lock must be held.
+// recordRateLimit records an observation, logs it if the limit has changed, and reports whether it has. The lock
+// must be held.
 func (f *FleetState) recordRateLimit(server fleet.ServerID, observed observedRateLimit, from string) bool {
 	var before fleet.RateLimit
 	if known := f.rateLimits.byServer[server]; known != nil {
@@ -171,25 +177,26 @@
 		return false
 	}
 	f.rateLimits.evict(f.isListed)
-	line := f.log.Info().Str("server", string(server)).Uint64("incarnation", uint64(observed.incarnation)).Bool("listed", f.isListed(server)).
+	event := f.log.Info().Str("server", string(server)).Uint64("incarnation", uint64(observed.incarnation)).Bool("listed", f.isListed(server)).
 		Str("from", from).Dur("age_ms", f.clock.Since(observed.received))
 	if before.Set {
-		line = line.Float64("previous_per_second", before.PerSecond)
+		event = event.Float64("previous_per_second", before.PerSecond)
 	}
 	if !observed.limit.Set {
-		line.Msg("server no longer advertises a rate limit")
+		event.Msg("server no longer advertises a rate limit")
 		return true
 	}
-	line.Float64("per_second", observed.limit.PerSecond).Msg("server advertises a rate limit")
+	event.Float64("per_second", observed.limit.PerSecond).Msg("server advertises a rate limit")
 	return true
 }
 
-// RateLimitsSince returns the limits that changed after the change with number told, and the number of the latest change.
-func (f *FleetState) RateLimitsSince(told uint64) (changed []*wire.RateLimit, now uint64) {
+// RateLimitsSince returns the limits that changed after the change with sequence number since. Latest is the
+// sequence number of the latest change.
+func (f *FleetState) RateLimitsSince(since uint64) (changed []*wire.RateLimit, latest uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, known := range f.rateLimits.byServer {
-		if known.seq > told {
+		if known.seq > since {
 			changed = append(changed, rateLimitToWire(id, &known.observedRateLimit, f.clock.Now()))
 		}
 	}
@@ -206,31 +213,31 @@
 	return rateLimit{}
 }
 
-// rateLimitSeq returns the number of the latest change of a rate limit.
+// rateLimitSeq returns the sequence number of the latest change of a rate limit.
 func (f *FleetState) rateLimitSeq() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rateLimits.seq
 }
 
-// rateLimitToWire encodes times as ages because clocks of boxes are not synchronized.
+// rateLimitToWire encodes times as ages because the clocks of boxes are not synchronized.
 func rateLimitToWire(id fleet.ServerID, observed *observedRateLimit, now time.Time) *wire.RateLimit {
-	heard := max(0, now.Sub(observed.received).Milliseconds())
+	age := max(0, now.Sub(observed.received).Milliseconds())
 	return &wire.RateLimit{
 		Server: string(id), Incarnation: uint64(observed.incarnation), Limited: observed.limit.Set, PerSecond: observed.limit.PerSecond,
-		SentAgeMilliseconds: uint64(max(heard, now.Sub(observed.sent).Milliseconds())), HeardAgeMilliseconds: uint64(heard),
+		SentAgeMilliseconds: uint64(max(age, now.Sub(observed.sent).Milliseconds())), HeardAgeMilliseconds: uint64(age),
 	}
 }
 
 // maxObservationAge limits received ages to prevent overflow.
 const maxObservationAge = 24 * time.Hour
 
-func rateLimitFromWire(told *wire.RateLimit, now time.Time) observedRateLimit {
-	ago := func(age uint64) time.Time {
+func rateLimitFromWire(reported *wire.RateLimit, now time.Time) observedRateLimit {
+	timeAt := func(age uint64) time.Time {
 		return now.Add(-time.Duration(min(age, uint64(maxObservationAge.Milliseconds()))) * time.Millisecond)
 	}
 	return observedRateLimit{
-		incarnation: member.Incarnation(told.Incarnation), limit: fleet.RateLimit{Set: told.Limited, PerSecond: told.PerSecond},
-		sent: ago(told.SentAgeMilliseconds), received: ago(told.HeardAgeMilliseconds),
+		incarnation: member.Incarnation(reported.Incarnation), limit: fleet.RateLimit{Set: reported.Limited, PerSecond: reported.PerSecond},
+		sent: timeAt(reported.SentAgeMilliseconds), received: timeAt(reported.HeardAgeMilliseconds),
 	}
 }
--- a/internal/direct/ratelimits_test.go
+++ b/internal/direct/ratelimits_test.go
@@ -15,7 +15,7 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// Guards against an answer that arrives out of order clearing or raising the limit.
+// Guards against a response that arrives out of order clearing or raising the limit.
 func TestOutOfOrderResponsesKeepLowerRateLimit(t *testing.T) {
 	base := time.Unix(1_800_000_000, 0)
 	at := func(ms int) time.Time { return base.Add(time.Duration(ms) * time.Millisecond) }
@@ -53,41 +53,41 @@
 	}
 }
 
-// Guards against a limit that is not stored, or that outlives an answer without one from a later incarnation.
+// Guards against a limit that is not stored, or that outlives a response without one from a later incarnation.
 func TestRateLimitIsStoredAndCleared(t *testing.T) {
-	facts := newDeparturesState()
-	facts.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
-	facts.ObserveRateLimit("a", 5, fleet.RateLimit{Set: true, PerSecond: 2}, facts.clock.Now(), "request 1")
-	require.Equal(t, 2.0, facts.rateLimits.byServer["a"].limit.PerSecond)
-	facts.ObserveRateLimit("a", member.Incarnation(6), fleet.RateLimit{}, facts.clock.Now(), "request 2")
-	require.False(t, facts.rateLimits.byServer["a"].limit.Set)
+	state := newDeparturesState()
+	state.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
+	state.ObserveRateLimit("a", 5, fleet.RateLimit{Set: true, PerSecond: 2}, state.clock.Now(), "request 1")
+	require.Equal(t, 2.0, state.rateLimits.byServer["a"].limit.PerSecond)
+	state.ObserveRateLimit("a", member.Incarnation(6), fleet.RateLimit{}, state.clock.Now(), "request 2")
+	require.False(t, state.rateLimits.byServer["a"].limit.Set)
 }
 
 // rateLimitsByServer returns the rate limits in the view of the servers.
-func rateLimitsByServer(facts *FleetState) map[fleet.ServerID]fleet.RateLimit {
+func rateLimitsByServer(state *FleetState) map[fleet.ServerID]fleet.RateLimit {
 	limits := make(map[fleet.ServerID]fleet.RateLimit)
-	for _, server := range facts.View().Servers("llm") {
+	for _, server := range state.View().Servers("llm") {
 		limits[server.ID] = server.Limit
 	}
 	return limits
 }
 
-// Guards against a box ignoring a rate limit because it has received no answer from the server itself.
+// Guards against a box ignoring a rate limit because it has received no response from the server itself.
 func TestRateLimitsAreMergedFromOtherBoxes(t *testing.T) {
 	one, other := newDeparturesState(), newDeparturesState()
-	for _, facts := range []*FleetState{one, other} {
-		facts.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
+	for _, state := range []*FleetState{one, other} {
+		state.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
 	}
 	limit := fleet.RateLimit{Set: true, PerSecond: 2}
 	require.True(t, one.ObserveRateLimit("a", 5, limit, one.clock.Now(), "request 1"))
-	changed, told := one.RateLimitsSince(0)
+	changed, seq := one.RateLimitsSince(0)
 	other.MergeRateLimits(changed, "entry-1")
 	require.Equal(t, limit, rateLimitsByServer(other)["a"])
-	changed, _ = one.RateLimitsSince(told)
+	changed, _ = one.RateLimitsSince(seq)
 	require.Empty(t, changed)
 
 	changed, _ = other.RateLimitsSince(0)
-	require.Len(t, changed, 1, "limits learned from a box are passed on")
+	require.Len(t, changed, 1, "limits merged from a box are reported to others")
 
 	other.MergeRateLimits([]*wire.RateLimit{
 		{Server: "a", Incarnation: 5, Limited: true, PerSecond: math.NaN()},
@@ -97,78 +97,81 @@
 	require.Equal(t, limit, rateLimitsByServer(other)["a"])
 }
 
-// Guards against a limit that is cleared by an update of the server's entry or kept for an incarnation that started after it.
+// Guards against a limit that is cleared by an update of the server's entry or kept for an incarnation that
+// started after it.
 func TestRateLimitAppliesToOneIncarnation(t *testing.T) {
-	facts := newDeparturesState()
+	state := newDeparturesState()
 	limit := fleet.RateLimit{Set: true, PerSecond: 2}
-	facts.ObserveRateLimit("a", 5, limit, facts.clock.Now(), "request 1")
-	facts.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
-	require.Equal(t, limit, rateLimitsByServer(facts)["a"], "the limit arrived before the entry")
-	facts.Apply([]fleet.Fact{deletedAt(7), listedIncarnation(5, 8)}, "store")
-	require.Equal(t, limit, rateLimitsByServer(facts)["a"])
-	facts.MergeAgentReport("10.0.0.1:8000", member.Incarnation(facts.clock.Now().UnixMilli()), false, "agent")
-	require.False(t, rateLimitsByServer(facts)["a"].Set)
+	state.ObserveRateLimit("a", 5, limit, state.clock.Now(), "request 1")
+	state.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
+	require.Equal(t, limit, rateLimitsByServer(state)["a"], "the limit arrived before the entry")
+	state.Apply([]fleet.Fact{deletedAt(7), listedIncarnation(5, 8)}, "store")
+	require.Equal(t, limit, rateLimitsByServer(state)["a"])
+	state.MergeAgentReport("10.0.0.1:8000", member.Incarnation(state.clock.Now().UnixMilli()), false, "agent")
+	require.False(t, rateLimitsByServer(state)["a"].Set)
 }
 
-// Guards against rebuilding the view of all servers for each answer of a server whose limit changes constantly.
+// Guards against rebuilding the view of all servers for each response of a server whose limit changes
+// constantly.
 func TestRateLimitIsLoweredAtOnceAndRaisedAfterDelay(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	facts := NewFleetState(clock, zerolog.Nop(), NewMetrics())
-	facts.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
-	hear := func(perSecond float64) bool {
+	state := NewFleetState(clock, zerolog.Nop(), NewMetrics())
+	state.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
+	observe := func(perSecond float64) bool {
 		clock.Advance(10 * time.Millisecond)
-		return facts.ObserveRateLimit("a", 5, fleet.RateLimit{Set: true, PerSecond: perSecond}, clock.Now(), "request")
+		return state.ObserveRateLimit("a", 5, fleet.RateLimit{Set: true, PerSecond: perSecond}, clock.Now(), "request")
 	}
 	changes := 0
 	for i := range 200 {
-		if hear(10 + float64(i%2)*5) {
+		if observe(10 + float64(i%2)*5) {
 			changes++
 		}
 	}
 	require.LessOrEqual(t, changes, 5, "in two seconds")
 	clock.Advance(limitRaiseDelay)
-	hear(10)
-	require.True(t, hear(5))
-	require.False(t, hear(5.05), "within limitTolerance")
-	require.False(t, hear(10))
+	observe(10)
+	require.True(t, observe(5))
+	require.False(t, observe(5.05), "within limitTolerance")
+	require.False(t, observe(10))
 	clock.Advance(limitRaiseDelay)
-	require.True(t, hear(10))
+	require.True(t, observe(10))
 	clock.Advance(limitRaiseDelay)
-	require.True(t, facts.ObserveRateLimit("a", 5, fleet.RateLimit{}, clock.Now(), "request"))
-	require.False(t, rateLimitsByServer(facts)["a"].Set)
+	require.True(t, state.ObserveRateLimit("a", 5, fleet.RateLimit{}, clock.Now(), "request"))
+	require.False(t, rateLimitsByServer(state)["a"].Set)
 }
 
 // Guards against unbounded growth through servers that are no longer listed.
 func TestRateLimitsOfUnlistedServersAreBounded(t *testing.T) {
-	facts := newDeparturesState()
-	facts.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
+	state := newDeparturesState()
+	state.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
 	limit := fleet.RateLimit{Set: true, PerSecond: 2}
-	facts.ObserveRateLimit("a", 5, limit, facts.clock.Now(), "request 1")
+	state.ObserveRateLimit("a", 5, limit, state.clock.Now(), "request 1")
 	for i := range 5 * maxRateLimits {
-		facts.ObserveRateLimit(fleet.ServerID(fmt.Sprintf("gone-%d", i)), 1, limit, facts.clock.Now(), "request 2")
+		state.ObserveRateLimit(fleet.ServerID(fmt.Sprintf("gone-%d", i)), 1, limit, state.clock.Now(), "request 2")
 	}
-	require.LessOrEqual(t, len(facts.rateLimits.byServer), maxRateLimits+1)
-	require.Equal(t, limit, rateLimitsByServer(facts)["a"])
+	require.LessOrEqual(t, len(state.rateLimits.byServer), maxRateLimits+1)
+	require.Equal(t, limit, rateLimitsByServer(state)["a"])
 }
 
-// Guards against clearing the limit of a server when its current start is listed only after the answer with the limit.
+// Guards against clearing the limit of a server whose current incarnation is listed only after the response
+// with the limit.
 func TestRateLimitAppliesToIncarnationRunningAtResponse(t *testing.T) {
 	for name, test := range map[string]struct {
 		startedBefore time.Duration
 		limited       bool
 	}{
-		"started 2.1 s before the answer": {2100 * time.Millisecond, true},
-		"started 1.9 s before the answer": {1900 * time.Millisecond, false},
-		"started after the answer":        {-100 * time.Millisecond, false},
+		"started 2.1 s before the response": {2100 * time.Millisecond, true},
+		"started 1.9 s before the response": {1900 * time.Millisecond, false},
+		"started after the response":        {-100 * time.Millisecond, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			facts := newDeparturesState()
-			facts.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
-			facts.ObserveRateLimit("a", 5, fleet.RateLimit{Set: true, PerSecond: 2}, facts.clock.Now(), "request 1")
-			facts.Apply([]fleet.Fact{listedIncarnation(member.Incarnation(facts.clock.Now().Add(-test.startedBefore).UnixMilli()), 7)}, "store")
-			require.Equal(t, test.limited, rateLimitsByServer(facts)["a"].Set)
+			state := newDeparturesState()
+			state.Apply([]fleet.Fact{listedIncarnation(5, 6)}, "store")
+			state.ObserveRateLimit("a", 5, fleet.RateLimit{Set: true, PerSecond: 2}, state.clock.Now(), "request 1")
+			state.Apply([]fleet.Fact{listedIncarnation(member.Incarnation(state.clock.Now().Add(-test.startedBefore).UnixMilli()), 7)}, "store")
+			require.Equal(t, test.limited, rateLimitsByServer(state)["a"].Set)
 			late := fleet.RateLimit{Set: true, PerSecond: 1}
-			require.False(t, facts.ObserveRateLimit("a", 5, late, facts.clock.Now(), "request 2"), "late answer of an earlier start")
+			require.False(t, state.ObserveRateLimit("a", 5, late, state.clock.Now(), "request 2"), "late response of an earlier incarnation")
 		})
 	}
 }
--- a/internal/direct/ratelimitsapi.go
+++ b/internal/direct/ratelimitsapi.go
@@ -16,17 +16,18 @@
 type LimitedServer struct {
 	Server  string `json:"server"`
 	Service string `json:"service"`
-	// PerSecond is the limit for all entry boxes together. Since is when the server last went from unlimited to limited. From is the
-	// request or entry box from which this box learned the current value.
+	// PerSecond is the limit for all entry boxes together, in requests per second. Since is when the server
+	// last went from unlimited to limited. From is the request or entry box from which this box received the
+	// current limit.
 	PerSecond float64   `json:"per_second"`
 	Since     time.Time `json:"since"`
 	From      string    `json:"from"`
-	// Share is the part of the limit that is allotted to the entry boxes of this cell. Available is the number of requests that they
-	// may send now; it is negative after too many were sent.
+	// Share is the part of the limit that is allotted to the entry boxes of this cell, in requests per second.
+	// Available is the number of requests that they may send now; it is negative after too many were sent.
 	Share     float64 `json:"share_per_second"`
 	Available float64 `json:"available"`
-	// Sent is the number of requests that this box has sent since it learned of the limit. SentByOthers is the number that the other
-	// entry boxes of its cell have reported.
+	// Sent is the number of requests that this box has sent since it received the limit. SentByOthers is the
+	// number that the other entry boxes of its cell have reported.
 	Sent         uint64 `json:"sent"`
 	SentByOthers uint64 `json:"sent_by_others"`
 }
@@ -35,16 +36,16 @@
 const RateLimitsPath = "/rate-limits"
 
 // serveRateLimits registers the handler for RateLimitsPath.
-func (f *CallerServer) serveRateLimits(router *echo.Echo) {
-	router.GET(RateLimitsPath, func(c echo.Context) error { return c.JSON(http.StatusOK, f.limitedServers()) })
+func (s *CallerServer) serveRateLimits(router *echo.Echo) {
+	router.GET(RateLimitsPath, func(c echo.Context) error { return c.JSON(http.StatusOK, s.limitedServers()) })
 }
 
 // limitedServers returns the servers with a rate limit that this box sends to, sorted by server.
-func (f *CallerServer) limitedServers() []LimitedServer {
-	now, servers := f.clock.Now(), []LimitedServer{}
-	for name, d := range f.allDispatchers() {
+func (s *CallerServer) limitedServers() []LimitedServer {
+	now, servers := s.clock.Now(), []LimitedServer{}
+	for name, d := range s.allDispatchers() {
 		for _, limited := range d.LimitedServers(now) {
-			known := f.fleetState.rateLimit(limited.Server)
+			known := s.fleetState.rateLimit(limited.Server)
 			servers = append(servers, LimitedServer{
 				Server: string(limited.Server), Service: string(name),
 				PerSecond: known.limit.PerSecond, Since: known.since.UTC(), From: known.from,
@@ -57,11 +58,11 @@
 }
 
 // allDispatchers returns a copy of the dispatchers by service, for use without the lock.
-func (f *CallerServer) allDispatchers() map[member.Service]*route.Dispatcher {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	dispatchers := make(map[member.Service]*route.Dispatcher, len(f.dispatchers))
-	for name, d := range f.dispatchers {
+func (s *CallerServer) allDispatchers() map[member.Service]*route.Dispatcher {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	dispatchers := make(map[member.Service]*route.Dispatcher, len(s.dispatchers))
+	for name, d := range s.dispatchers {
 		dispatchers[name] = d
 	}
 	return dispatchers
--- a/internal/direct/recentresponses.go
+++ b/internal/direct/recentresponses.go
@@ -7,19 +7,21 @@
 )
 
 const (
-	// recentResponseRetention is for how long at least it is kept that a request was answered, maxRecentResponses how many at most in that time.
+	// recentResponseRetention is the minimum time for which an answered request is remembered.
+	// maxRecentResponses limits the number of requests that are remembered in that time.
 	recentResponseRetention = 30 * time.Second
 	maxRecentResponses      = 4096
 )
 
-// recentResponses knows the requests that were answered in the last while. What is asked often is on every server that ends,
-// whatever ended it; it is no suspect where it has just been answered. The hash is of this process alone, so nobody can
-// make a request that is taken for another one.
+// recentResponses remembers the requests that were recently answered. A frequent request is in flight at every
+// server that exits, whatever the cause, so a request that was just answered does not become suspect. The hash
+// is seeded per process, so no caller can create a request that collides with another one.
 type recentResponses struct {
 	seed maphash.Seed
 
 	mu sync.Mutex
-	// current and older are by when they were answered, since currentSince and before.
+	// current holds the hashes of the requests that were answered since currentSince, previous those of the
+	// period before.
 	current, previous map[uint64]struct{}
 	currentSince      time.Time
 }
@@ -28,33 +30,34 @@
 	return &recentResponses{seed: maphash.MakeSeed(), current: make(map[uint64]struct{})}
 }
 
-// add notes that a request was answered.
-func (a *recentResponses) add(x *exchange, now time.Time) {
-	key := a.hash(x)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if now.Sub(a.currentSince) >= recentResponseRetention || len(a.current) >= maxRecentResponses {
-		a.previous, a.current, a.currentSince = a.current, make(map[uint64]struct{}), now
+// add records that a request was answered.
+func (r *recentResponses) add(x *exchange, now time.Time) {
+	key := r.hash(x)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if now.Sub(r.currentSince) >= recentResponseRetention || len(r.current) >= maxRecentResponses {
+		r.previous, r.current, r.currentSince = r.current, make(map[uint64]struct{}), now
 	}
-	a.current[key] = struct{}{}
+	r.current[key] = struct{}{}
 }
 
-// remove reports whether a request was answered lately, and forgets it: one that is not answered again has had its turn.
-func (a *recentResponses) remove(x *exchange, now time.Time) bool {
-	key := a.hash(x)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	_, isNew := a.current[key]
-	_, isOld := a.previous[key]
-	delete(a.current, key)
-	delete(a.previous, key)
-	return (isNew || isOld) && now.Sub(a.currentSince) < recentResponseRetention
+// remove reports whether a request was recently answered and removes it. Each recorded response exempts the
+// request once only.
+func (r *recentResponses) remove(x *exchange, now time.Time) bool {
+	key := r.hash(x)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	_, inCurrent := r.current[key]
+	_, inPrevious := r.previous[key]
+	delete(r.current, key)
+	delete(r.previous, key)
+	return (inCurrent || inPrevious) && now.Sub(r.currentSince) < recentResponseRetention
 }
 
-// hash is over the same as a request's content.
-func (a *recentResponses) hash(x *exchange) uint64 {
+// hash returns a hash of the same parts of a request as its content ID.
+func (r *recentResponses) hash(x *exchange) uint64 {
 	var hash maphash.Hash
-	hash.SetSeed(a.seed)
+	hash.SetSeed(r.seed)
 	writeContent(&hash, x)
 	return hash.Sum64()
 }
--- a/internal/direct/rejectedcallers.go
+++ b/internal/direct/rejectedcallers.go
@@ -9,27 +9,27 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// sinceFirstTry returns how long ago a caller first asked; 0 if it was not here before. Whom another
-// box has sent away is known; of the others the remaining time tells those whose box was killed,
-// or who left it by themselves.
-func (f *CallerServer) sinceFirstTry(x *exchange) time.Duration {
+// sinceFirstTry returns the time since the first try of a caller; 0 for a new request. Callers that another box
+// has rejected are known by their fingerprint. Others may have lost their box or switched boxes; a short
+// remaining time identifies them as retries.
+func (s *CallerServer) sinceFirstTry(x *exchange) time.Duration {
 	x.fingerprint = fingerprintOf(x)
-	if first, ok := f.rejectedCallers.FirstRequestAt(x.fingerprint, x.arrived.Add(x.Deadline), x.arrived); ok {
-		return x.arrived.Sub(first)
+	if firstAt, ok := s.rejectedCallers.FirstRequestAt(x.fingerprint, x.arrived.Add(x.Deadline), x.arrived); ok {
+		return x.arrived.Sub(firstAt)
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	known := f.callerTimeouts[x.route.Name]
-	if known == nil {
-		known = &route.CallerTimeoutEstimator{}
-		f.callerTimeouts[x.route.Name] = known
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	estimator := s.callerTimeouts[x.route.Name]
+	if estimator == nil {
+		estimator = &route.CallerTimeoutEstimator{}
+		s.callerTimeouts[x.route.Name] = estimator
 	}
-	waited := known.Waited(x.Deadline, x.route.Timeout)
-	known.Observe(x.Deadline)
+	waited := estimator.Waited(x.Deadline, x.route.Timeout)
+	estimator.Observe(x.Deadline)
 	return waited
 }
 
-// fingerprintOf identifies what a request asks for.
+// fingerprintOf returns a hash that identifies a request across retries.
 func fingerprintOf(x *exchange) route.Fingerprint {
 	var hash xxhash.Digest
 	hash.Reset()
@@ -44,12 +44,12 @@
 	return route.Fingerprint(hash.Sum64())
 }
 
-// noteRejected remembers a caller who got no answer and may come back.
-func (f *CallerServer) noteRejected(x *exchange) {
+// noteRejected records a caller that got no response and may retry.
+func (s *CallerServer) noteRejected(x *exchange) {
 	if x.route == nil || x.Deadline <= 0 {
 		return
 	}
-	f.rejectedCallers.Record(route.RejectedCaller{
+	s.rejectedCallers.Record(route.RejectedCaller{
 		Fingerprint: x.fingerprint, FirstRequestAt: x.arrived.Add(-x.sinceFirstTry), TimeoutAt: x.arrived.Add(x.Deadline),
-	}, f.clock.Now())
+	}, s.clock.Now())
 }
--- a/internal/direct/responseheaders.go
+++ b/internal/direct/responseheaders.go
@@ -9,61 +9,62 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// handleSignals takes what a backend server says of itself in the head of an answer. That holds whatever becomes of the
-// request: read for the fate of the request alone, it was forgotten with it.
-func (f *CallerServer) handleSignals(x *exchange, place *route.Reservation, head *http.Response) {
-	mark := f.protocol.ReadResponse(head)
-	server := string(place.Server.ID)
-	if mark.ParseErr != nil {
-		f.log.Warn().Str("request", x.ID).Str("server", server).Err(mark.ParseErr).Msg("server's word not read")
+// handleSignals processes the signals in the response headers of a backend server. They apply whatever the
+// outcome of the request is, so they are not handled together with the outcome.
+func (s *CallerServer) handleSignals(x *exchange, slot *route.Reservation, resp *http.Response) {
+	meta := s.protocol.ReadResponse(resp)
+	server := string(slot.Server.ID)
+	if meta.ParseErr != nil {
+		s.log.Warn().Str("request", x.ID).Str("server", server).Err(meta.ParseErr).Msg("server's word not read")
 	}
-	if mark.Leaving {
-		f.metrics.serverSignals.WithLabelValues("leaving").Inc()
-		f.handleLeaving(x, place)
+	if meta.Leaving {
+		s.metrics.serverSignals.WithLabelValues("leaving").Inc()
+		s.handleLeaving(x, slot)
 	}
-	f.handleRateLimit(x, place, &mark, head)
-	if mark.Backoff > 0 {
-		rest, now := min(mark.Backoff, maxBackoff), f.clock.Now()
-		place.BackOff(now.Add(rest), now)
-		f.metrics.serverSignals.WithLabelValues("rest").Inc()
-		f.log.Info().Str("request", x.ID).Str("server", server).Uint64("incarnation", uint64(place.Incarnation)).Int("status", head.StatusCode).
-			Dur("asked_ms", mark.Backoff).Dur("rest_ms", rest).Msg("server asks for rest")
+	s.handleRateLimit(x, slot, &meta, resp)
+	if meta.Backoff > 0 {
+		backoff, now := min(meta.Backoff, maxBackoff), s.clock.Now()
+		slot.BackOff(now.Add(backoff), now)
+		s.metrics.serverSignals.WithLabelValues("rest").Inc()
+		s.log.Info().Str("request", x.ID).Str("server", server).Uint64("incarnation", uint64(slot.Incarnation)).Int("status", resp.StatusCode).
+			Dur("asked_ms", meta.Backoff).Dur("rest_ms", backoff).Msg("server asks for rest")
 	}
 }
 
-// handleRateLimit records the rate limit in an answer. An answer without one clears the limit, unless it is an interim
-// response, comes from another server or has headers that could not be parsed.
-func (f *CallerServer) handleRateLimit(x *exchange, place *route.Reservation, mark *provider.ResponseMetadata, head *http.Response) {
-	if mark.RateLimit.Set {
-		f.metrics.serverSignals.WithLabelValues("limit").Inc()
-	} else if head.StatusCode < http.StatusOK || mark.Misdirected || mark.ParseErr != nil {
+// handleRateLimit records the rate limit in a response. A response without one clears the limit, unless it is
+// an interim response, comes from another server or has headers that could not be parsed.
+func (s *CallerServer) handleRateLimit(x *exchange, slot *route.Reservation, meta *provider.ResponseMetadata, resp *http.Response) {
+	if meta.RateLimit.Set {
+		s.metrics.serverSignals.WithLabelValues("limit").Inc()
+	} else if resp.StatusCode < http.StatusOK || meta.Misdirected || meta.ParseErr != nil {
 		return
 	}
-	sent := place.ReservedAt()
-	if mark.RequestID != x.ID && mark.RequestID != "" {
-		// The answer belongs to another request, whose send time is unknown.
+	sent := slot.ReservedAt()
+	if meta.RequestID != x.ID && meta.RequestID != "" {
+		// The response belongs to another request, whose send time is unknown.
 		sent = time.Time{}
 	}
-	if f.fleetState.ObserveRateLimit(place.Server.ID, place.Incarnation, mark.RateLimit, sent, "request "+x.ID) {
-		f.updateServiceDispatcher(x.service)
+	if s.fleetState.ObserveRateLimit(slot.Server.ID, slot.Incarnation, meta.RateLimit, sent, "request "+x.ID) {
+		s.updateServiceDispatcher(x.service)
 	}
 }
 
-// handleLeaving takes a server's word that it will end. Its dispatcher knows it before the answer is passed on, so
-// that nothing a caller asks for after that is sent there; also if another answer has just told it.
-func (f *CallerServer) handleLeaving(x *exchange, place *route.Reservation) {
-	f.fleetState.ObserveDeparture(place.Server.ID, place.Incarnation, "request "+x.ID)
-	if place.IsLeaving() {
+// handleLeaving handles a server's signal that it will leave. The dispatcher is updated before the response is
+// forwarded, so that no request that the caller sends afterwards goes to that server. This also holds if
+// another response has just carried the same signal.
+func (s *CallerServer) handleLeaving(x *exchange, slot *route.Reservation) {
+	s.fleetState.ObserveDeparture(slot.Server.ID, slot.Incarnation, "request "+x.ID)
+	if slot.IsLeaving() {
 		return
 	}
-	f.updateServiceDispatcher(x.service)
+	s.updateServiceDispatcher(x.service)
 }
 
-// updateServiceDispatcher updates the dispatcher of a service before the answer is passed on.
-func (f *CallerServer) updateServiceDispatcher(name member.Service) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if d := f.dispatchers[name]; d != nil {
-		f.updateDispatcher(name, d)
+// updateServiceDispatcher updates the dispatcher of a service, if it has one.
+func (s *CallerServer) updateServiceDispatcher(name member.Service) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if d := s.dispatchers[name]; d != nil {
+		s.updateDispatcher(name, d)
 	}
 }
--- a/internal/direct/run.go
+++ b/internal/direct/run.go
@@ -11,198 +11,194 @@
 )
 
 const (
-	// maxUnreachable bounds the servers that one request finds unreachable: a list
-	// of which so many are gone is old, as after a loss of power.
+	// maxUnreachable limits the servers that one request may find unreachable. A list with that many
+	// unreachable servers is outdated, for example after a power failure.
 	maxUnreachable = 4
-	// refusedRetryAfter is when a caller should return whose server refused.
+	// refusedRetryAfter is the Retry-After for a request that its server refused.
 	refusedRetryAfter = 100 * time.Millisecond
 )
 
 // run makes attempts until the request has an outcome.
-func (f *CallerServer) run(x *exchange) {
-	ctx, cancel := context.WithTimeout(x.request.Context(), f.clock.Until(x.deadline))
+func (s *CallerServer) run(x *exchange) {
+	ctx, cancel := context.WithTimeout(x.request.Context(), s.clock.Until(x.deadline))
 	defer cancel()
-	f.retryBudget(x.service).RecordRequest(f.clock.Now())
+	s.retryBudget(x.service).RecordRequest(s.clock.Now())
 	var tried []fleet.ServerID
 	var next *route.Reservation
-	var mayHaveRun, last error
+	var mayHaveRunErr, lastErr error
 	for x.attempts < x.route.MaxAttempts && x.unreachable < maxUnreachable {
-		place, err := f.nextSlot(ctx, x, next, tried)
+		slot, err := s.nextSlot(ctx, x, next, tried)
 		if err != nil {
-			last = err
+			lastErr = err
 			break
 		}
-		tried = append(tried, place.Server.ID)
-		guard := f.startWatchdog(ctx, x, tried)
-		place.OnVersionCutoff(guard.abortNotStarted)
-		result, err := f.attempt(guard.ctx, x, place, guard)
-		next = guard.stop(result, f.clock.Now())
+		tried = append(tried, slot.Server.ID)
+		wd := s.startWatchdog(ctx, x, tried)
+		slot.OnVersionCutoff(wd.abortNotStarted)
+		result, err := s.attempt(wd.ctx, x, slot, wd)
+		next = wd.stop(result, s.clock.Now())
 		switch result {
 		case outcomeDone:
-			f.finish(x, "answered").Str("server", string(place.Server.ID)).Uint64("weights", uint64(place.Version)).Msg("request answered")
+			s.finish(x, "answered").Str("server", string(slot.Server.ID)).Uint64("weights", uint64(slot.Version)).Msg("request answered")
 			return
 		case outcomeCallerGone:
-			f.noteRejected(x)
-			f.finish(x, "left").Str("server", string(place.Server.ID)).Msg("caller left")
+			s.noteRejected(x)
+			s.finish(x, "left").Str("server", string(slot.Server.ID)).Msg("caller left")
 			return
 		case outcomeTruncated:
-			f.abort(x, err)
+			s.abort(x, err)
 		case outcomeNotExecuted:
-			last = err
+			lastErr = err
 			if errors.Is(err, errPastCutoff) {
-				// Nothing was asked of the server, which may have newer weights in a moment.
+				// The request was not sent, and the server may have newer weights soon.
 				tried = tried[:len(tried)-1]
 			}
 		case outcomeUnknown, outcomeStreamBroken:
-			mayHaveRun = err
+			mayHaveRunErr = err
 			if !x.route.Repeatable() {
-				f.conclude(ctx, x, mayHaveRun, last)
+				s.conclude(ctx, x, mayHaveRunErr, lastErr)
 				return
 			}
 		}
 	}
-	f.conclude(ctx, x, mayHaveRun, last)
+	s.conclude(ctx, x, mayHaveRunErr, lastErr)
 }
 
-// nextSlot returns the place for the next attempt: the one that was had already or, if there is none, one that is waited for.
-func (f *CallerServer) nextSlot(ctx context.Context, x *exchange, had *route.Reservation, tried []fleet.ServerID) (*route.Reservation, error) {
-	if err := f.checkQuarantine(ctx, x); err != nil {
-		if had != nil {
-			had.Release(route.ResultAbandoned, f.clock.Now())
+// nextSlot returns the reservation for the next attempt: the given one or, if it is nil, a new one.
+func (s *CallerServer) nextSlot(ctx context.Context, x *exchange, reserved *route.Reservation, tried []fleet.ServerID) (*route.Reservation, error) {
+	if err := s.checkQuarantine(ctx, x); err != nil {
+		if reserved != nil {
+			reserved.Release(route.ResultAbandoned, s.clock.Now())
 		}
 		return nil, err
 	}
-	if had != nil {
-		return had, nil
+	if reserved != nil {
+		return reserved, nil
 	}
-	if x.attempts > 0 && !f.retryBudget(x.service).AllowRetry(f.retryExtra(), f.clock.Now()) {
-		return nil, errBudget
+	if x.attempts > 0 && !s.retryBudget(x.service).AllowRetry(s.retryExtra(), s.clock.Now()) {
+		return nil, errRetryBudget
 	}
-	return f.acquireSlot(ctx, x, tried)
+	return s.acquireSlot(ctx, x, tried)
 }
 
-// acquireSlot waits for a place on a server.
-func (f *CallerServer) acquireSlot(ctx context.Context, x *exchange, tried []fleet.ServerID) (*route.Reservation, error) {
-	asked := f.clock.Now()
-	defer func() { x.waited += f.clock.Since(asked) }()
-	return f.dispatcher(x.service).Acquire(ctx, f.slotRequest(x, tried, false), f.clock)
+// acquireSlot waits for a slot on a server.
+func (s *CallerServer) acquireSlot(ctx context.Context, x *exchange, tried []fleet.ServerID) (*route.Reservation, error) {
+	startedAt := s.clock.Now()
+	defer func() { x.waited += s.clock.Since(startedAt) }()
+	return s.dispatcher(x.service).Acquire(ctx, s.slotRequest(x, tried, false), s.clock)
 }
 
-// errPastCutoff reports weights that were barred before the request was sent.
+// errPastCutoff reports that the weights of the server passed the cutoff before the request was sent.
 var errPastCutoff = errors.New("weights of the server may no longer start a request")
 
-// errBudget reports that no further attempt is allowed.
-var errBudget = errors.New("retry budget is spent")
+// errRetryBudget reports that the retry budget allows no further attempt.
+var errRetryBudget = errors.New("retry budget is spent")
 
-// abort breaks the caller's connection off, so that it sees that the answer is
-// not whole.
-func (f *CallerServer) abort(x *exchange, cause error) {
-	f.noteRejected(x)
-	f.finish(x, "cut").Err(cause).Msg("answer cut")
+// abort closes the caller's connection so that the caller detects a truncated response.
+func (s *CallerServer) abort(x *exchange, cause error) {
+	s.noteRejected(x)
+	s.finish(x, "cut").Err(cause).Msg("answer cut")
 	panic(http.ErrAbortHandler)
 }
 
-// conclude gives the final answer of a request that no attempt has answered.
-func (f *CallerServer) conclude(ctx context.Context, x *exchange, mayHaveRun, last error) {
+// conclude writes the final response to a request that no attempt has answered.
+func (s *CallerServer) conclude(ctx context.Context, x *exchange, mayHaveRunErr, lastErr error) {
 	switch {
 	case x.started:
-		f.abort(x, errors.Join(mayHaveRun, last))
+		s.abort(x, errors.Join(mayHaveRunErr, lastErr))
 	case x.request.Context().Err() != nil:
-		f.noteRejected(x)
-		f.finish(x, "left").AnErr("cause", last).Msg("caller left")
-	case mayHaveRun != nil:
-		if errors.Is(last, route.ErrQuarantined) {
-			mayHaveRun = errors.Join(mayHaveRun, last)
+		s.noteRejected(x)
+		s.finish(x, "left").AnErr("cause", lastErr).Msg("caller left")
+	case mayHaveRunErr != nil:
+		if errors.Is(lastErr, route.ErrQuarantined) {
+			mayHaveRunErr = errors.Join(mayHaveRunErr, lastErr)
 		}
 		status := http.StatusBadGateway
 		if ctx.Err() != nil {
 			status = http.StatusGatewayTimeout
 		}
-		f.fail(x, status, mayHaveRun)
+		s.fail(x, status, mayHaveRunErr)
 	default:
-		f.refuseNotRun(x, last)
+		s.refuseNotRun(x, lastErr)
 	}
 }
 
-// refuseNotRun refuses a request that surely has not run.
-func (f *CallerServer) refuseNotRun(x *exchange, cause error) {
-	var held *quarantinedError
-	if errors.As(cause, &held) {
-		f.refuseQuarantined(x, held)
+// refuseNotRun refuses a request that certainly has not run.
+func (s *CallerServer) refuseNotRun(x *exchange, cause error) {
+	var quarantined *quarantinedError
+	if errors.As(cause, &quarantined) {
+		s.refuseQuarantined(x, quarantined)
 		return
 	}
 	var busy *route.BusyError
-	ask := f.slotRequest(x, nil, false)
-	ask.Retry = x.sinceFirstTry > 0
-	if resting := f.dispatcher(x.service).BackoffError(ask, f.clock.Now()); resting != nil {
-		cause = resting
+	req := s.slotRequest(x, nil, false)
+	req.Retry = x.sinceFirstTry > 0
+	if backoffErr := s.dispatcher(x.service).BackoffError(req, s.clock.Now()); backoffErr != nil {
+		cause = backoffErr
 	}
-	wait, reason, left := refusedRetryAfter, "not-run", x.deadline.Sub(f.clock.Now())
+	wait, reason, remaining := refusedRetryAfter, "not-run", x.deadline.Sub(s.clock.Now())
 	switch {
 	case errors.As(cause, &busy):
-		f.refuseBusy(x, busy)
+		s.refuseBusy(x, busy)
 		return
 	case errors.Is(cause, route.ErrNoServer), x.unreachable+x.misdirected > 1:
-		wait, reason = route.RetryAfter(route.ErrNoServer, left), "no-server"
+		wait, reason = route.RetryAfter(route.ErrNoServer, remaining), "no-server"
 	}
-	f.log.Debug().Str("request", x.ID).AnErr("cause", cause).Msg("refusing")
-	f.refuse(x, reason, wait)
+	s.log.Debug().Str("request", x.ID).AnErr("cause", cause).Msg("refusing")
+	s.refuse(x, reason, wait)
 }
 
-// retryExtra is this box's part of the retries that all entry boxes may make
-// beyond the ratio. A box that has just started does not know the others yet, nor
-// what it has used before its start.
-func (f *CallerServer) retryExtra() float64 {
-	if f.clock.Since(f.started) < f.retries.window {
-		return f.retries.extra / float64(max(assumedBoxesAtStart, f.entryBoxCount()))
+// retryExtra returns this box's share of the retries that all entry boxes together may make beyond the ratio. A
+// box that has just started knows neither the other boxes nor the retries that it made before the start.
+func (s *CallerServer) retryExtra() float64 {
+	if s.clock.Since(s.started) < s.retries.window {
+		return s.retries.extra / float64(max(assumedBoxesAtStart, s.entryBoxCount()))
 	}
-	return f.retries.extra / float64(f.entryBoxCount()) * retrySafety
+	return s.retries.extra / float64(s.entryBoxCount()) * retrySafety
 }
 
-// assumedBoxesAtStart is among how many entry boxes at least a box that has just started splits the
-// common retries, as it may not know of all of them yet.
+// assumedBoxesAtStart is the minimum number of entry boxes among which a box that has just started divides the
+// shared retries, as it may not know all boxes yet.
 const assumedBoxesAtStart = 64
 
-// retrySafety is the part of the common retry budget that is used: boxes that
-// come and go count each other late.
+// retrySafety is the part of the shared retry budget that is used. It compensates for the delay with which
+// boxes notice that others start or stop.
 const retrySafety = 0.7
 
-// slotRequest is what a request needs of a server.
-func (f *CallerServer) slotRequest(x *exchange, tried []fleet.ServerID, once bool) *route.SlotRequest {
-	reading, writing := f.engineTimes(x)
-	ask := &route.SlotRequest{
-		Priority: f.priority(x), Arrived: f.clock.Now(), Objective: x.arrived.Add(x.route.Objective - x.sinceFirstTry), Deadline: x.deadline, CallerTimeout: x.route.CallerTimeout,
-		Prefill: reading, HoldTime: reading + writing,
-		Retry: x.sinceFirstTry > 0 && !f.leaving.Load(), Tried: tried, NoWait: once, Suspect: x.suspect,
+// slotRequest returns the request for a slot on a server.
+func (s *CallerServer) slotRequest(x *exchange, tried []fleet.ServerID, noWait bool) *route.SlotRequest {
+	prefill, decode := s.engineTimes(x)
+	req := &route.SlotRequest{
+		Priority: s.priority(x), Arrived: s.clock.Now(), Objective: x.arrived.Add(x.route.Objective - x.sinceFirstTry), Deadline: x.deadline, CallerTimeout: x.route.CallerTimeout,
+		Prefill: prefill, HoldTime: prefill + decode,
+		Retry: x.sinceFirstTry > 0 && !s.leaving.Load(), Tried: tried, NoWait: noWait, Suspect: x.suspect,
 	}
 	switch {
 	case x.started:
-		// Its reader waits for the next event, and all that was written is lost if none
-		// comes.
-		ask.Resuming, ask.Retry = true, false
-		ask.Priority, ask.Objective = resumePriority, x.lastForwarded.Add(x.route.MaxEventGap)
+		// The reader is waiting for the next event. If none comes, the whole response is lost.
+		req.Resuming, req.Retry = true, false
+		req.Priority, req.Objective = resumePriority, x.lastForwarded.Add(x.route.MaxEventGap)
 	case x.attempts > 0:
-		// A request that has been tried already goes before those that came later.
-		ask.Retry = true
+		// A request that was already attempted has precedence over later ones.
+		req.Retry = true
 	}
-	return ask
+	return req
 }
 
-// resumePriority is more urgent than any priority of operators, which begin at 0.
+// resumePriority is more urgent than any configured priority; those start at 0.
 const resumePriority = -1
 
-// priority is the organisation's, else the route's.
-func (f *CallerServer) priority(x *exchange) int {
+// priority returns the priority of the organisation or, if it has none, of the route.
+func (s *CallerServer) priority(x *exchange) int {
 	if x.organisation != nil && x.organisation.Priority != nil {
 		return *x.organisation.Priority
 	}
 	return x.route.Priority
 }
 
-// engineTimes is how long a model server reads the prompt and is expected to write the
-// answer; 0 for other servers.
-func (f *CallerServer) engineTimes(x *exchange) (reading, writing time.Duration) {
-	service := f.fleetState.View().Service(x.service)
+// engineTimes returns the expected prefill and decode time of a model server; 0 for other servers.
+func (s *CallerServer) engineTimes(x *exchange) (prefill, decode time.Duration) {
+	service := s.fleetState.View().Service(x.service)
 	if service == nil || service.Engine == nil {
 		return 0, 0
 	}
--- a/internal/direct/seed_test.go
+++ b/internal/direct/seed_test.go
@@ -2,6 +2,5 @@
 
 import "flag"
 
-// init fixes the seed of the randomised runs, so that every run gives the same
-// verdict.
+// init fixes the seed of the randomised tests so that they are reproducible.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
--- a/internal/direct/serverexits.go
+++ b/internal/direct/serverexits.go
@@ -16,17 +16,19 @@
 )
 
 const (
-	// safeResponseDuration is for how long a server must have been giving its answer for its end to have another cause.
+	// safeResponseDuration is how long a response must have been in progress so that an exit of its server is
+	// not attributed to the request.
 	safeResponseDuration = 200 * time.Millisecond
-	// exitProbeTimeout bounds asking whether a server still listens. Its box says at once that nothing does; if the box says
-	// nothing, more is at fault than the server.
+	// exitProbeTimeout limits a probe, which checks whether a server still listens. A box without a listener
+	// refuses the connection at once; if the box does not reply, the failure is not limited to the server.
 	exitProbeTimeout = 150 * time.Millisecond
-	// exitProbeRetention is for how long it is kept that a start of a server has ended.
+	// exitProbeRetention is how long the result of a probe is kept for a server incarnation that has exited.
 	exitProbeRetention = 10 * time.Second
 )
 
-// exitProbes find out whether a server has ended when a connection to it breaks off. A broken connection alone does not
-// tell: links reset them, and servers cut answers short. All attempts that break off at one moment share one question.
+// exitProbes detect whether a server has exited when a connection to it fails. A failed connection alone is no
+// proof: networks reset connections, and servers truncate responses. Attempts that fail at the same time share
+// one probe.
 type exitProbes struct {
 	clock clockwork.Clock
 	probe func(ctx context.Context, address member.Address) error
@@ -35,7 +37,7 @@
 	byIncarnation map[route.ServerIncarnation]*exitProbe
 }
 
-// exitProbe is one question. What became of it may be read once done is closed.
+// exitProbe is one probe. The result may be read once done is closed.
 type exitProbe struct {
 	done   chan struct{}
 	at     time.Time
@@ -46,34 +48,35 @@
 	return &exitProbes{clock: clock, probe: pool.Probe, byIncarnation: make(map[route.ServerIncarnation]*exitProbe)}
 }
 
-// hasExited reports whether nothing listens any more where a start of a server did to which something was sent at a time.
-func (p *exitProbes) hasExited(start route.ServerIncarnation, address member.Address, sent time.Time) bool {
-	asked, isNew := p.findOrAdd(start, sent)
+// hasExited reports whether the incarnation of a server that received a request has exited, which means that
+// its address refuses connections.
+func (p *exitProbes) hasExited(incarnation route.ServerIncarnation, address member.Address, sent time.Time) bool {
+	probe, isNew := p.findOrAdd(incarnation, sent)
 	if !isNew {
-		<-asked.done
-		return asked.exited
+		<-probe.done
+		return probe.exited
 	}
-	defer close(asked.done)
+	defer close(probe.done)
 	ctx, cancel := clockwork.WithTimeout(context.Background(), p.clock, exitProbeTimeout)
 	defer cancel()
-	asked.exited = errors.Is(p.probe(ctx, address), syscall.ECONNREFUSED)
-	if !asked.exited {
-		// It lives, as far as is known, and may end later.
+	probe.exited = errors.Is(p.probe(ctx, address), syscall.ECONNREFUSED)
+	if !probe.exited {
+		// The server is still running and may exit later.
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.byIncarnation[start] == asked {
-			delete(p.byIncarnation, start)
+		if p.byIncarnation[incarnation] == probe {
+			delete(p.byIncarnation, incarnation)
 		}
 	}
-	return asked.exited
+	return probe.exited
 }
 
-// findOrAdd returns the question that is asked about a start, and whether the caller is to ask it. What was asked before something
-// was sent tells nothing of what became of that.
-func (p *exitProbes) findOrAdd(start route.ServerIncarnation, sent time.Time) (asked *exitProbe, isNew bool) {
+// findOrAdd returns the probe of an incarnation and whether the caller has to run it. A probe that began before
+// the request was sent does not show whether the server exited afterwards, so it is replaced.
+func (p *exitProbes) findOrAdd(incarnation route.ServerIncarnation, sent time.Time) (probe *exitProbe, isNew bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known := p.byIncarnation[start]; known != nil && !sent.After(known.at) {
+	if known := p.byIncarnation[incarnation]; known != nil && !sent.After(known.at) {
 		return known, false
 	}
 	now := p.clock.Now()
@@ -82,92 +85,92 @@
 			delete(p.byIncarnation, other)
 		}
 	}
-	asked = &exitProbe{done: make(chan struct{}), at: now}
-	p.byIncarnation[start] = asked
-	return asked, true
+	probe = &exitProbe{done: make(chan struct{}), at: now}
+	p.byIncarnation[incarnation] = probe
+	return probe, true
 }
 
-// isDisconnect reports whether a connection ended from the other side.
+// isDisconnect reports whether the other side ended a connection.
 func isDisconnect(err error) bool {
-	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, errPartialEvent, syscall.ECONNRESET, syscall.EPIPE} {
-		if errors.Is(err, end) {
+	for _, closed := range []error{io.EOF, io.ErrUnexpectedEOF, errPartialEvent, syscall.ECONNRESET, syscall.EPIPE} {
+		if errors.Is(err, closed) {
 			return !isAborted(err)
 		}
 	}
 	return false
 }
 
-// failAttempt ends an attempt that may have run and got no whole answer.
-func (f *CallerServer) failAttempt(x *exchange, place *route.Reservation, err error) {
+// failAttempt finishes an attempt that may have run and got no complete response.
+func (s *CallerServer) failAttempt(x *exchange, slot *route.Reservation, err error) {
 	result := route.ResultFailed
-	if isDisconnect(err) && f.serverExited(x, place) {
+	if isDisconnect(err) && s.serverExited(x, slot) {
 		result = route.ResultServerExited
 	}
-	f.finishAttempt(x, place, result, err)
+	s.finishAttempt(x, slot, result, err)
 }
 
-// serverExited reports whether the server has ended whose connection broke off. If it did so as it began to run the
-// request, which it had not announced, the request is suspect from then on.
-func (f *CallerServer) serverExited(x *exchange, place *route.Reservation) bool {
-	at := f.clock.Now()
-	if place.IsLeaving() || !place.IsListed() {
+// serverExited reports whether the server of a failed connection has exited. If it exited shortly after it
+// began to run the request, and without announcing its departure, the request becomes suspect.
+func (s *CallerServer) serverExited(x *exchange, slot *route.Reservation) bool {
+	now := s.clock.Now()
+	if slot.IsLeaving() || !slot.IsListed() {
 		return false
 	}
-	ended := f.exitProbes.hasExited(place.ServerIncarnation(), place.Server.Address, place.ReservedAt())
-	if place.RespondingFor(at) >= safeResponseDuration || f.recentResponses.remove(x, at) {
-		return ended
+	exited := s.exitProbes.hasExited(slot.ServerIncarnation(), slot.Server.Address, slot.ReservedAt())
+	if slot.RespondingFor(now) >= safeResponseDuration || s.recentResponses.remove(x, now) {
+		return exited
 	}
-	seen := route.Evidence{Content: x.contentID(), Exited: f.suspects.IncarnationAt(place.ServerIncarnation(), place.ReservedAt()), At: at}
-	if ended {
-		f.suspects.Observe(seen, "request "+x.ID)
+	evidence := route.Evidence{Content: x.contentID(), Exited: s.suspects.IncarnationAt(slot.ServerIncarnation(), slot.ReservedAt()), At: now}
+	if exited {
+		s.suspects.Observe(evidence, "request "+x.ID)
 	} else {
-		f.suspects.NoteDisconnect(seen)
+		s.suspects.NoteDisconnect(evidence)
 	}
-	return ended
+	return exited
 }
 
-// recordSuccess notes that a server runs the request, or has run it, and lives.
-func (f *CallerServer) recordSuccess(x *exchange) {
-	now := f.clock.Now()
-	f.recentResponses.add(x, now)
-	if !f.suspects.Empty() {
-		f.suspects.Observe(route.Evidence{Content: x.contentID(), At: now}, "request "+x.ID)
+// recordSuccess records that a server has been running the request, or has run it, without exiting.
+func (s *CallerServer) recordSuccess(x *exchange) {
+	now := s.clock.Now()
+	s.recentResponses.add(x, now)
+	if !s.suspects.Empty() {
+		s.suspects.Observe(route.Evidence{Content: x.contentID(), At: now}, "request "+x.ID)
 	}
 }
 
-// quarantineDecision is what may be done with a request now.
-func (f *CallerServer) quarantineDecision(x *exchange) route.Decision {
-	if f.suspects.Empty() {
+// quarantineDecision returns the current quarantine decision for a request.
+func (s *CallerServer) quarantineDecision(x *exchange) route.Decision {
+	if s.suspects.Empty() {
 		return route.Decision{}
 	}
-	return f.suspects.Evaluate(x.contentID(), f.clock.Now())
+	return s.suspects.Evaluate(x.contentID(), s.clock.Now())
 }
 
-// checkQuarantine returns an error if the request must not be sent to any server. What other boxes have to say of the last
-// server that ended under it is waited for: they may have sent the same.
-func (f *CallerServer) checkQuarantine(ctx context.Context, x *exchange) error {
-	verdict := f.quarantineDecision(x)
-	if verdict.Suspect && !verdict.Blocked {
-		if wait := verdict.SettlesAt.Sub(f.clock.Now()); wait > 0 {
-			sleep(ctx, f.clock, wait)
-			verdict = f.quarantineDecision(x)
+// checkQuarantine returns an error if the request must not be sent to any server. After the latest exit it
+// waits for reports of other boxes, which may have sent the same request.
+func (s *CallerServer) checkQuarantine(ctx context.Context, x *exchange) error {
+	decision := s.quarantineDecision(x)
+	if decision.Suspect && !decision.Blocked {
+		if wait := decision.SettlesAt.Sub(s.clock.Now()); wait > 0 {
+			sleep(ctx, s.clock, wait)
+			decision = s.quarantineDecision(x)
 		}
 	}
-	x.suspect = verdict.Suspect
-	if !verdict.Blocked {
+	x.suspect = decision.Suspect
+	if !decision.Blocked {
 		return nil
 	}
-	return &quarantinedError{until: verdict.BlockedUntil, exits: verdict.Exits}
+	return &quarantinedError{until: decision.BlockedUntil, exits: decision.Exits}
 }
 
-// quarantinedError is route.ErrQuarantined with until when and why.
+// quarantinedError is route.ErrQuarantined with the end of the block and the number of exits.
 type quarantinedError struct {
 	until time.Time
 	exits int
 }
 
-// Error says why the request is not sent.
+// Error returns the message of route.ErrQuarantined.
 func (e *quarantinedError) Error() string { return route.ErrQuarantined.Error() }
 
-// Unwrap makes it one of route.ErrQuarantined.
+// Unwrap returns route.ErrQuarantined.
 func (e *quarantinedError) Unwrap() error { return route.ErrQuarantined }
--- a/internal/direct/serversignals_test.go
+++ b/internal/direct/serversignals_test.go
@@ -8,18 +8,21 @@
 	"time"
 )
 
-// visitOf returns how a server answered a request; ok is false if it did not reach the server.
-func (w *testDeployment) visitOf(server, id string) (leaving bool, restUntil time.Time, ok bool) {
-	for _, visit := range w.servers[server].ReceivedRequests() {
-		if visit.RequestID == id {
-			return visit.Leaving, visit.BackoffUntil, true
+// responseSignals returns the signals in a server's response to a request; ok is false if the request did not
+// reach the server.
+func (w *testDeployment) responseSignals(server, id string) (leaving bool, backoffUntil time.Time, ok bool) {
+	for _, received := range w.servers[server].ReceivedRequests() {
+		if received.RequestID == id {
+			return received.Leaving, received.BackoffUntil, true
 		}
 	}
 	return false, time.Time{}, false
 }
 
-// cmdAwaitSignal makes requests at an entry box until a server has answered one in which it says that it
-// leaves, or wants rest, and the box has answered its caller: told entry-1 plain-1 /look/1.
+// cmdAwaitSignal sends requests to an entry box until a server has responded to one with a departure or a
+// requested backoff, and the box has responded to the caller:
+//
+//	told entry-1 plain-1 /look/1
 func (w *testDeployment) cmdAwaitSignal(args []string) error {
 	tries := 0
 	return w.await(func() error {
@@ -28,14 +31,14 @@
 		if _, err := w.status(args[0], id, args[2]); err != nil {
 			return err
 		}
-		if leaving, rest, ok := w.visitOf(args[1], id); ok && (leaving || !rest.IsZero()) {
+		if leaving, backoffUntil, ok := w.responseSignals(args[1], id); ok && (leaving || !backoffUntil.IsZero()) {
 			return nil
 		}
-		return errors.New("the server has told the box nothing")
+		return errors.New("server has sent no departure or backoff")
 	})
 }
 
-// status makes a request and returns the status of its answer.
+// status sends a request and returns the status of the response.
 func (w *testDeployment) status(entry, id, path string) (int, error) {
 	response, err := w.request(entry, id, path, "key-1")
 	if err != nil {
@@ -44,13 +47,15 @@
 	return response.StatusCode, response.Body.Close()
 }
 
-// cmdCheckAvoided makes requests at an entry box, of which none may reach a server, unless the rest that it
-// asked for is over, and all must be answered with a status: avoids entry-1 plain-1 /look/1 40 200.
+// cmdCheckAvoided sends requests to an entry box. None of them may reach the given server before the end of its
+// requested backoff, or ever if it has requested none, and all of them must get the given status:
+//
+//	avoids entry-1 plain-1 /look/1 40 200
 func (w *testDeployment) cmdCheckAvoided(args []string) error {
-	rest := time.Time{}
-	for _, visit := range w.servers[args[1]].ReceivedRequests() {
-		if visit.BackoffUntil.After(rest) {
-			rest = visit.BackoffUntil
+	backoffUntil := time.Time{}
+	for _, received := range w.servers[args[1]].ReceivedRequests() {
+		if received.BackoffUntil.After(backoffUntil) {
+			backoffUntil = received.BackoffUntil
 		}
 	}
 	before, reached := len(w.servers[args[1]].ReceivedRequests()), 0
@@ -60,12 +65,12 @@
 		if err != nil {
 			return err
 		}
-		if status != want && (rest.IsZero() || time.Now().Before(rest)) {
+		if status != want && (backoffUntil.IsZero() || time.Now().Before(backoffUntil)) {
 			return fmt.Errorf("request %d: status %d, want %d", i, status, want)
 		}
 	}
-	for _, visit := range w.servers[args[1]].ReceivedRequests()[before:] {
-		if rest.IsZero() || visit.At.Before(rest) {
+	for _, received := range w.servers[args[1]].ReceivedRequests()[before:] {
+		if backoffUntil.IsZero() || received.At.Before(backoffUntil) {
 			reached++
 		}
 	}
@@ -75,34 +80,35 @@
 	return nil
 }
 
-// checkUsed makes a request at an entry box and returns an error unless a server has answered it.
+// checkUsed sends a request to an entry box and returns an error unless a server responds to it with 200.
 func (w *testDeployment) checkUsed(entry, server, path string) error {
 	id := fmt.Sprintf("used-%s-%d", server, w.requestCount.Add(1))
 	status, err := w.status(entry, id, path)
 	if err != nil {
 		return err
 	}
-	if _, _, ok := w.visitOf(server, id); !ok || status != http.StatusOK {
-		return fmt.Errorf("%s did not answer request %s: status %d", server, id, status)
+	if _, _, ok := w.responseSignals(server, id); !ok || status != http.StatusOK {
+		return fmt.Errorf("%s did not respond to request %s: status %d", server, id, status)
 	}
 	return nil
 }
 
-// cmdCheckRetryAfter makes a request that must be refused and told to come back no sooner than after a time, in
-// seconds: later entry-1 /look/1 1.0.
+// cmdCheckRetryAfter sends a request that must be refused with a Retry-After of at least a number of seconds:
+//
+//	later entry-1 /look/1 1.0
 func (w *testDeployment) cmdCheckRetryAfter(args []string) error {
 	response, err := w.request(args[0], fmt.Sprintf("later-%d", w.requestCount.Add(1)), args[1], "key-1")
 	if err != nil {
 		return err
 	}
 	_ = response.Body.Close()
-	told, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
+	retryAfter, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	if err != nil {
 		return err
 	}
-	least, err := strconv.ParseFloat(args[2], 64)
-	if err == nil && told < least {
-		return fmt.Errorf("told to come back in %v s, want %v s at least", told, least)
+	minimum, err := strconv.ParseFloat(args[2], 64)
+	if err == nil && retryAfter < minimum {
+		return fmt.Errorf("Retry-After is %v s, want at least %v s", retryAfter, minimum)
 	}
 	return err
 }
--- a/internal/direct/stream.go
+++ b/internal/direct/stream.go
@@ -12,7 +12,7 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// maxEventBytes bounds one event, in bytes.
+// maxEventBytes limits the size of one event, in bytes.
 const maxEventBytes = 1 << 20
 
 // errEventTooLong reports an event of more than maxEventBytes bytes.
@@ -21,18 +21,16 @@
 // errPartialEvent reports a stream that ended in the middle of an event.
 var errPartialEvent = errors.New("stream ended in the middle of an event")
 
-// eventReader cuts a stream of events (WHATWG HTML, server-sent events) into
-// whole events.
+// eventReader splits a stream of server-sent events (WHATWG HTML) into complete events.
 type eventReader struct {
 	source io.Reader
 	buffer []byte
-	// consumed is how much of the buffer has been returned.
+	// consumed is the number of bytes of the buffer that have been returned.
 	consumed int
 }
 
-// next returns what has arrived of whole events, at least one, with the id of
-// the last of them. At the end of the stream it returns io.EOF if nothing is
-// left, and errPartialEvent if a part of an event is.
+// next returns all complete events that have arrived, at least one, and the ID of the last of them. At the end
+// of the stream it returns io.EOF, or errPartialEvent if an incomplete event remains.
 func (r *eventReader) next() (events []byte, id string, err error) {
 	r.buffer = append(r.buffer[:0], r.buffer[r.consumed:]...)
 	r.consumed = 0
@@ -61,7 +59,7 @@
 	}
 }
 
-// lastEventEnd returns where the last whole event ends; 0 if there is none.
+// lastEventEnd returns the offset of the end of the last complete event; 0 if there is none.
 func lastEventEnd(buffer []byte) int {
 	end := 0
 	if at := bytes.LastIndex(buffer, []byte("\n\n")); at >= 0 {
@@ -73,7 +71,7 @@
 	return end
 }
 
-// lastID returns the id of the last event that has one.
+// lastID returns the ID of the last event that has one.
 func lastID(events []byte) string {
 	id := ""
 	for line := range bytes.SplitSeq(events, []byte("\n")) {
@@ -85,43 +83,43 @@
 	return id
 }
 
-// forwardStream passes events on as they come. A stream that breaks off can go on
-// at another server after the last event that was passed on.
-func (f *CallerServer) forwardStream(x *exchange, place *route.Reservation, answer *upstream.Response, guard *watchdog) (outcome, error) {
-	reader := &eventReader{source: answer}
+// forwardStream forwards events as they arrive. A stream that fails can be resumed at another server after the
+// last forwarded event.
+func (s *CallerServer) forwardStream(x *exchange, slot *route.Reservation, resp *upstream.Response, wd *watchdog) (outcome, error) {
+	reader := &eventReader{source: resp}
 	flush := http.NewResponseController(x.writer)
-	runs := false
-	// The head is passed on with the first event, so that a server that gives none
-	// can be replaced.
+	succeeded := false
+	// The headers are forwarded with the first event, so that a server that sends no event can still be
+	// replaced.
 	for {
 		events, id, err := reader.next()
 		switch {
 		case errors.Is(err, io.EOF):
 			if !x.started {
-				f.forwardHeader(x, answer)
+				s.forwardHeader(x, resp)
 			}
-			f.recordSuccess(x)
-			f.finishAttempt(x, place, route.ResultDone, nil)
+			s.recordSuccess(x)
+			s.finishAttempt(x, slot, route.ResultDone, nil)
 			return outcomeDone, nil
 		case err != nil:
-			return f.streamFailed(x, place, guard.withCause(err))
+			return s.streamFailed(x, slot, wd.withCause(err))
 		}
 		if !x.started {
-			answer.Header.Del("Content-Length")
-			f.forwardHeader(x, answer)
+			resp.Header.Del("Content-Length")
+			s.forwardHeader(x, resp)
 		}
-		guard.extend(streamStallTimeout)
-		x.noteForwarded(f.clock.Now())
-		place.Started(f.clock.Now())
-		if !runs && place.RespondingFor(f.clock.Now()) >= safeResponseDuration {
-			runs = true
-			f.recordSuccess(x)
+		wd.extend(streamStallTimeout)
+		x.noteForwarded(s.clock.Now())
+		slot.Started(s.clock.Now())
+		if !succeeded && slot.RespondingFor(s.clock.Now()) >= safeResponseDuration {
+			succeeded = true
+			s.recordSuccess(x)
 		}
 		if _, err = x.writer.Write(events); err == nil {
 			err = flush.Flush()
 		}
 		if err != nil {
-			f.finishAttempt(x, place, route.ResultAbandoned, err)
+			s.finishAttempt(x, slot, route.ResultAbandoned, err)
 			return outcomeCallerGone, err
 		}
 		if id != "" {
@@ -130,25 +128,25 @@
 	}
 }
 
-// noteForwarded notes that events are passed on.
+// noteForwarded records that events are forwarded.
 func (x *exchange) noteForwarded(now time.Time) {
 	if !x.lastForwarded.IsZero() {
-		x.longestPause = max(x.longestPause, now.Sub(x.lastForwarded))
+		x.longestEventGap = max(x.longestEventGap, now.Sub(x.lastForwarded))
 	}
 	x.lastForwarded = now
 }
 
-// streamFailed tells what became of a stream that broke off.
-func (f *CallerServer) streamFailed(x *exchange, place *route.Reservation, err error) (outcome, error) {
+// streamFailed handles a stream that failed.
+func (s *CallerServer) streamFailed(x *exchange, slot *route.Reservation, err error) (outcome, error) {
 	if x.request.Context().Err() != nil {
-		f.finishAttempt(x, place, route.ResultAbandoned, err)
+		s.finishAttempt(x, slot, route.ResultAbandoned, err)
 		return outcomeCallerGone, err
 	}
-	f.failAttempt(x, place, err)
+	s.failAttempt(x, slot, err)
 	if !x.started {
 		return outcomeUnknown, err
 	}
-	if x.lastEventID == "" || !f.clock.Now().Before(x.deadline) {
+	if x.lastEventID == "" || !s.clock.Now().Before(x.deadline) {
 		return outcomeTruncated, err
 	}
 	return outcomeStreamBroken, err
--- a/internal/direct/stream_test.go
+++ b/internal/direct/stream_test.go
@@ -19,31 +19,31 @@
 		for i := range count {
 			fmt.Fprintf(&stream, "id: %d\ndata: %s\n\n", i+1, rapid.StringMatching(`[a-z ]{0,40}`).Draw(t, "data"))
 		}
-		whole := bytes.Clone(stream.Bytes())
-		cut := rapid.IntRange(0, len(whole)).Draw(t, "cut")
-		reader := &eventReader{source: iotest.OneByteReader(bytes.NewReader(whole[:cut]))}
-		var passed []byte
+		complete := bytes.Clone(stream.Bytes())
+		length := rapid.IntRange(0, len(complete)).Draw(t, "cut")
+		reader := &eventReader{source: iotest.OneByteReader(bytes.NewReader(complete[:length]))}
+		var forwarded []byte
 		last := ""
 		for {
 			events, id, err := reader.next()
 			if err != nil {
-				left := whole[len(passed):cut]
-				if errors.Is(err, io.EOF) != (len(left) == 0) || len(left) > 0 && !errors.Is(err, errPartialEvent) {
-					t.Fatalf("with %q left: %v", left, err)
+				remaining := complete[len(forwarded):length]
+				if errors.Is(err, io.EOF) != (len(remaining) == 0) || len(remaining) > 0 && !errors.Is(err, errPartialEvent) {
+					t.Fatalf("next with %q remaining: %v", remaining, err)
 				}
 				break
 			}
-			passed = append(passed, events...)
+			forwarded = append(forwarded, events...)
 			last = id
-			if !bytes.HasSuffix(passed, []byte("\n\n")) {
-				t.Fatalf("a part of an event was passed on: %q", events)
+			if !bytes.HasSuffix(forwarded, []byte("\n\n")) {
+				t.Fatalf("forwarded a partial event: %q", events)
 			}
 		}
-		if !bytes.HasPrefix(whole, passed) {
-			t.Fatalf("passed on %q of %q", passed, whole)
+		if !bytes.HasPrefix(complete, forwarded) {
+			t.Fatalf("forwarded %q of %q", forwarded, complete)
 		}
-		if want := bytes.Count(passed, []byte("\n\n")); want > 0 && last != fmt.Sprint(want) {
-			t.Fatalf("last id %q, want %d", last, want)
+		if want := bytes.Count(forwarded, []byte("\n\n")); want > 0 && last != fmt.Sprint(want) {
+			t.Fatalf("last ID is %q, want %d", last, want)
 		}
 	})
 }
