--- a/internal/daemon/backendproxy.go
+++ b/internal/daemon/backendproxy.go
@@ -251,7 +251,7 @@
 		}
 	}
 	if refusal != wire.Refusal_REFUSAL_NONE {
-		p.metrics.gateRequests.WithLabelValues(refusalLabel(refusal)).Inc()
+		p.metrics.proxyRequests.WithLabelValues(refusalLabel(refusal)).Inc()
 		return p.sendRefusal(stream, first.Head, refusal, detail)
 	}
 	defer release()
@@ -282,7 +282,7 @@
 		if neverConnected(err) {
 			p.dedup.Abandon(route.RequestID(head.RequestId), route.AttemptID(head.Attempt), p.clock.Now())
 			p.releaseClaims(head)
-			p.metrics.gateRequests.WithLabelValues(refusalLabel(wire.Refusal_REFUSAL_UNREACHABLE)).Inc()
+			p.metrics.proxyRequests.WithLabelValues(refusalLabel(wire.Refusal_REFUSAL_UNREACHABLE)).Inc()
 			return p.sendRefusal(stream, head, wire.Refusal_REFUSAL_UNREACHABLE, err.Error())
 		}
 		return p.sendFailure(stream, head, err)
@@ -299,7 +299,7 @@
 }
 
 func (p *BackendProxy) sendFailure(stream wire.DRPCBackend_ServeStream, head *wire.RequestHead, err error) error {
-	p.metrics.gateRequests.WithLabelValues("failed").Inc()
+	p.metrics.proxyRequests.WithLabelValues("failed").Inc()
 	return stream.Send(&wire.ServeResponse{RequestId: head.RequestId, Failed: true, Detail: err.Error(), Load: p.load()})
 }
 
@@ -391,11 +391,11 @@
 			if frame.Failed {
 				frame.Detail = err.Error()
 			}
-			p.metrics.gateRequests.WithLabelValues(responseLabel(frame)).Inc()
+			p.metrics.proxyRequests.WithLabelValues(responseLabel(frame)).Inc()
 			return stream.Send(frame)
 		}
 		if err := stream.Send(frame); err != nil {
-			p.metrics.gateRequests.WithLabelValues("caller-gone").Inc()
+			p.metrics.proxyRequests.WithLabelValues("caller-gone").Inc()
 			return err
 		}
 		frame = &wire.ServeResponse{RequestId: head.RequestId}
--- a/internal/daemon/loader.go
+++ b/internal/daemon/loader.go
@@ -226,7 +226,7 @@
 		err := l.makeLive(ctx, job)
 		if err == nil {
 			elapsed := l.options.Clock.Since(started)
-			l.options.Metrics.copySeconds.Observe(elapsed.Seconds())
+			l.options.Metrics.loadSeconds.Observe(elapsed.Seconds())
 			log.Info().Dur("taken_ms", elapsed).Msg("version is live")
 			l.watchLoaded(ctx, job)
 			continue
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -25,8 +25,8 @@
 	chunkBytes     *prometheus.CounterVec
 	chunkFaults    *prometheus.CounterVec
 	servedBytes    prometheus.Counter
-	copySeconds    prometheus.Histogram
-	gateRequests   *prometheus.CounterVec
+	loadSeconds    prometheus.Histogram
+	proxyRequests  *prometheus.CounterVec
 }
 
 // requestBuckets are histogram bounds in seconds, from a fast lookup to a long response.
@@ -51,13 +51,13 @@
 		chunkBytes:     metric.CounterVec("chunk_received_bytes_total", "Bytes of verified chunks received, by where from.", "from"),
 		chunkFaults:    metric.CounterVec("chunk_faults_total", "Fetches of chunks that failed, by where from and fault.", "from", "fault"),
 		servedBytes:    metric.Counter("chunk_served_bytes_total", "Bytes of chunks served to other agents."),
-		copySeconds:    prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: metric.Namespace, Name: "copy_seconds", Help: "Time from an assignment to live.", Buckets: requestBuckets}),
-		gateRequests:   metric.CounterVec("gate_requests_total", "Requests that reached this agent, by what became of them.", "result"),
+		loadSeconds:    prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: metric.Namespace, Name: "copy_seconds", Help: "Time from an assignment to live.", Buckets: requestBuckets}),
+		proxyRequests:  metric.CounterVec("gate_requests_total", "Requests that reached this agent, by what became of them.", "result"),
 	}
 	m.registry.MustRegister(
 		m.requests, m.requestSeconds, m.ttfbSeconds, m.retries, m.refusals, m.heartbeats, m.markedSilent,
 		m.keyValueCalls, m.keyValueErrors, m.isPlanner, m.planSeconds,
-		m.chunkBytes, m.chunkFaults, m.servedBytes, m.copySeconds, m.gateRequests,
+		m.chunkBytes, m.chunkFaults, m.servedBytes, m.loadSeconds, m.proxyRequests,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 	)
 	return m
--- a/internal/direct/attempt.go
+++ b/internal/direct/attempt.go
@@ -155,7 +155,7 @@
 // isLocalAbort reports whether this box prevented or aborted an attempt.
 func isLocalAbort(err error) bool {
 	return errors.Is(err, errPastCutoff) || errors.Is(err, errNotStarted) || errors.Is(err, route.ErrLeaving) || errors.Is(err, route.ErrBackingOff) ||
-		errors.Is(err, route.ErrLimited) || errors.Is(err, route.ErrQuarantined)
+		errors.Is(err, route.ErrRateLimited) || errors.Is(err, route.ErrQuarantined)
 }
 
 // finishAttempt releases the reservation and records the result of the attempt.
--- a/pkg/route/dispatch.go
+++ b/pkg/route/dispatch.go
@@ -300,7 +300,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.peerLoads.merge(box, load, full, now)
-	d.takePeerSent(box, load, now)
+	d.mergePeerSent(box, load, now)
 	d.changes++
 	d.grant(nil, now)
 }
--- a/pkg/route/limit.go
+++ b/pkg/route/limit.go
@@ -15,9 +15,9 @@
 // refilled. The limit therefore holds over any period longer than the reporting delay, and needs neither the number of
 // boxes nor synchronized clocks.
 
-// ErrLimited reports that a server whose rate limit was set or lowered after the slot was reserved has no token
+// ErrRateLimited reports that a server whose rate limit was set or lowered after the slot was reserved has no token
 // available.
-var ErrLimited = errors.New("server rate limit reached")
+var ErrRateLimited = errors.New("server rate limit reached")
 
 const (
 	// probeRate is the lowest rate, in requests per second. It lets a limit of 0 be detected as lifted.
@@ -119,8 +119,8 @@
 	}
 }
 
-// takePeerSent updates the token buckets with the requests that another box reports.
-func (d *Dispatcher) takePeerSent(box member.BoxID, load Load, now time.Time) {
+// mergePeerSent updates the token buckets with the requests that another box reports.
+func (d *Dispatcher) mergePeerSent(box member.BoxID, load Load, now time.Time) {
 	if len(d.buckets) == 0 {
 		return
 	}
@@ -143,14 +143,14 @@
 }
 
 // checkLimit takes a token if the server's rate limit was set or lowered since the last token was taken for the
-// reservation. It returns ErrLimited if none is available.
+// reservation. It returns ErrRateLimited if none is available.
 func (r *Reservation) checkLimit(now time.Time) error {
 	bucket := r.dispatcher.buckets[r.Server.ID]
 	if bucket == nil || r.tokenRate > 0 && r.tokenRate <= bucket.rate {
 		return nil
 	}
 	if bucket.available(now) < 1 {
-		return ErrLimited
+		return ErrRateLimited
 	}
 	r.takeToken(now)
 	return nil
--- a/pkg/route/limit_test.go
+++ b/pkg/route/limit_test.go
@@ -72,11 +72,11 @@
 	w := newLimitedDispatcher(t, plainServer("a", 1))
 	reservation := w.acquire()
 	w.setServers(limitedServer("a", 2))
-	require.ErrorIs(t, reservation.Check(w.now), ErrLimited)
+	require.ErrorIs(t, reservation.Check(w.now), ErrRateLimited)
 	w.now = w.now.Add(500 * time.Millisecond)
 	require.NoError(t, reservation.Check(w.now))
 	other := &Reservation{Server: reservation.Server, dispatcher: w.d}
-	require.ErrorIs(t, other.Check(w.now), ErrLimited, "the first request took the token")
+	require.ErrorIs(t, other.Check(w.now), ErrRateLimited, "the first request took the token")
 }
 
 func TestCheckTakesAnotherTokenWhenRateLimitIsLowered(t *testing.T) {
@@ -88,7 +88,7 @@
 	require.NoError(t, reservation.Check(w.now))
 	w.setServers(limitedServer("a", 0))
 	w.d.buckets["a"].tokens = 0
-	require.ErrorIs(t, reservation.Check(w.now), ErrLimited)
+	require.ErrorIs(t, reservation.Check(w.now), ErrRateLimited)
 }
 
 func TestRequestsOfOtherBoxesCountTowardsRateLimit(t *testing.T) {
