--- a/internal/provider/boxlist.go
+++ b/internal/provider/boxlist.go
@@ -9,16 +9,16 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// ListedState is what the box list says of a box.
+// ListedState is the state of a box in the box list.
 type ListedState string
 
-// The states of a listed box.
+// States of a listed box.
 const (
 	ListedLive    ListedState = "live"
 	ListedLeaving ListedState = "leaving"
 )
 
-// ListedBox is a box as the platform's lagging list gives it.
+// ListedBox is one entry of the platform's box list, which lags behind the actual state of the boxes.
 type ListedBox struct {
 	Box           member.BoxID
 	Role          member.Role
@@ -28,13 +28,13 @@
 	State         ListedState
 }
 
-// TargetGroup is one element of the HTTP service discovery format.
+// TargetGroup is one element of a document in the HTTP service discovery format of Prometheus.
 type TargetGroup struct {
 	Targets []string          `json:"targets"`
 	Labels  map[string]string `json:"labels"`
 }
 
-// The labels of a target group in the box list.
+// Labels of a target group in the box list.
 const (
 	LabelBox           = "box"
 	LabelRole          = "role"
@@ -45,11 +45,11 @@
 
 // BoxList is the platform's list of boxes.
 type BoxList struct {
-	// List reads the whole list. Errors wrap ErrUnavailable.
+	// List reads the complete list. Errors wrap ErrUnavailable.
 	List func(ctx context.Context) ([]ListedBox, error)
 }
 
-// NewBoxList returns the seam for a list in the HTTP service discovery format.
+// NewBoxList returns a BoxList that reads url, which serves the HTTP service discovery format of Prometheus.
 func NewBoxList(url string, client *http.Client) BoxList {
 	registry := &registryClient{base: url, client: client}
 	return BoxList{List: func(ctx context.Context) ([]ListedBox, error) {
--- a/internal/provider/engine.go
+++ b/internal/provider/engine.go
@@ -14,69 +14,70 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// ErrFenced reports an order that is older than one the engine has obeyed.
+// ErrFenced reports an order whose fencing token is lower than the highest one that the engine has accepted.
 var ErrFenced = errors.New("order is older than the engine's fence")
 
-// ErrRejected reports an order that the engine cannot carry out.
+// ErrRejected reports an order that the engine or model server cannot execute.
 var ErrRejected = errors.New("engine rejected the order")
 
-// OrderKind is what an order asks for.
+// OrderKind is the operation that an order requests.
 type OrderKind string
 
-// The orders that an engine takes.
+// Kinds of orders.
 const (
 	OrderLoad   OrderKind = "load"
 	OrderUnload OrderKind = "unload"
 )
 
-// FencingToken orders the orders; an engine refuses one that is lower than the highest
-// it has seen.
+// FencingToken is the position of an order in the sequence of all orders to an engine: by epoch first, then by
+// sequence. An engine rejects an order whose token is lower than the highest one that it has accepted.
 type FencingToken struct {
 	Epoch    uint64 `json:"epoch"`
 	Sequence uint64 `json:"sequence"`
 }
 
-// Order tells an engine to load a staged version or to unload one.
+// Order instructs an engine to load a staged version or to unload a loaded one.
 type Order struct {
 	Kind     OrderKind          `json:"order"`
 	Model    table.Model        `json:"model"`
 	Version  table.ModelVersion `json:"version"`
 	Manifest weights.Digest     `json:"manifest"`
-	// Chunks and Whole describe what must have been staged for a load.
+	// Chunks and WholeDigest are the number of chunks that must have been staged before a load and the digest
+	// of their concatenated content. Both are zero for an unload.
 	Chunks      int            `json:"chunks,omitempty"`
 	WholeDigest weights.Digest `json:"whole,omitzero"`
 	Fence       FencingToken   `json:"fence"`
 }
 
-// LoadedVersion is one version that an engine has in its memory.
+// LoadedVersion is one version of a model in the memory of an engine.
 type LoadedVersion struct {
 	Model    table.Model        `json:"model"`
 	Version  table.ModelVersion `json:"version"`
 	Manifest weights.Digest     `json:"manifest"`
 }
 
-// EngineState is what an engine says of itself.
+// EngineState is the state that an engine reports: its loaded versions and the number of running and waiting
+// requests.
 type EngineState struct {
 	Loaded  []LoadedVersion `json:"loaded"`
 	Running int             `json:"running"`
 	Waiting int             `json:"waiting"`
 }
 
-// HeaderEngineVersion tells an engine which loaded version a request is for.
+// HeaderEngineVersion is the request header that selects the loaded version for a request to an engine.
 const HeaderEngineVersion = "Engine-Model-Version"
 
 // Engine is the model engine on the box.
 type Engine struct {
-	// Stage hands over one verified chunk before the load order.
+	// Stage uploads one verified chunk. All chunks of a version must be staged before its load order.
 	Stage func(ctx context.Context, manifest weights.Digest, chunk int, data []byte) error
-	// Order carries out a load or an unload. Errors wrap ErrFenced, ErrRejected
-	// or ErrUnavailable.
+	// Order loads or unloads a version. Errors wrap ErrFenced, ErrRejected or ErrUnavailable.
 	Order func(ctx context.Context, order Order) error
-	// State reads what is loaded. Errors wrap ErrUnavailable.
+	// State reads the engine's state. Errors wrap ErrUnavailable.
 	State func(ctx context.Context) (EngineState, error)
 }
 
-// NewEngine returns the seam for an engine that takes its orders over HTTP:
+// NewEngine returns an Engine that calls the HTTP API at base:
 // PUT /staging/{manifest}/{chunk}, POST /orders and GET /state.
 func NewEngine(base string, client *http.Client) Engine {
 	c := &engineClient{base: base, client: client}
--- a/internal/provider/fleet.go
+++ b/internal/provider/fleet.go
@@ -12,175 +12,182 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// ErrCompacted reports a revision after which changes can no longer be told;
-// everything has to be read again.
-var ErrCompacted = errors.New("history is gone")
+// ErrCompacted reports that the changes after a revision are no longer available. The caller has to read a new
+// snapshot.
+var ErrCompacted = errors.New("history has been compacted")
 
-// FactBatch are facts read from the key-value service, and what could not be read.
+// FactBatch holds facts read from the key-value service and the errors of the entries that could not be decoded.
 type FactBatch struct {
 	Facts []fleet.Fact
-	// Errors name the entries that could not be decoded, and why.
+	// Errors holds one error for each entry that could not be decoded.
 	Errors []*EntryError
-	// Revision is the revision from which to go on.
+	// Revision is the revision after which the next call of Changes continues.
 	Revision fleet.Revision
 }
 
-// EntryError is an entry that could not be decoded, whole or in part.
+// EntryError reports an entry of the key-value service that could not be decoded, either completely or in part.
 type EntryError struct {
 	Key      string
 	Revision fleet.Revision
 	Err      error
 }
 
-// Error names the entry and what is wrong with it.
+// Error returns the key and revision of the entry and the decoding error.
 func (e *EntryError) Error() string {
 	return fmt.Sprintf("store key %q at revision %d: %v", e.Key, e.Revision, e.Err)
 }
 
-// Unwrap returns what is wrong with the entry.
+// Unwrap returns the decoding error.
 func (e *EntryError) Unwrap() error { return e.Err }
 
-// FactSource reads the operators' configuration, the list of backend servers and
-// the wanted weights.
+// FactSource reads the operators' configuration, the list of backend servers and the desired weights from the
+// key-value service.
 type FactSource struct {
-	// Snapshot reads everything. Errors wrap ErrUnavailable.
+	// Snapshot reads all entries. Errors wrap ErrUnavailable.
 	Snapshot func(ctx context.Context) (FactBatch, error)
-	// Changes waits for what is written after a revision, at most for the wait.
+	// Changes returns the entries written after a revision. It blocks until there is one, at most for wait.
 	// Errors wrap ErrUnavailable or ErrCompacted.
 	Changes func(ctx context.Context, after fleet.Revision, wait time.Duration) (FactBatch, error)
-	// Reconnect lets the calls that begin from now on use new connections: those that are
-	// kept may have gone silent.
+	// Reconnect makes all later calls open new connections, because idle connections may be dead without having
+	// been closed.
 	Reconnect func()
 }
 
-// LoadOrder tells a model server to take up staged weights.
+// LoadOrder instructs a model server to load staged weights.
 type LoadOrder struct {
 	Model   fleet.ModelName
 	Version fleet.WeightsVersion
-	// AbortRunning breaks off what runs; otherwise it is finished first.
+	// AbortRunning aborts the running requests. Otherwise the server finishes them before it loads.
 	AbortRunning bool
-	// Layers are those to take; all of them if End is 0.
+	// FirstLayer and EndLayer select the layers to load, from FirstLayer up to but not including EndLayer.
+	// All layers are loaded if EndLayer is 0.
 	FirstLayer, EndLayer int
 }
 
-// ModelServer is the model server on the agent's box. Errors of any call wrap a BackoffError if the server wants rest.
+// ModelServer is the model server on the agent's box. Errors of any call wrap a BackoffError if the server requests a
+// backoff.
 type ModelServer struct {
-	// Report reads its state. Errors wrap ErrUnavailable.
+	// Report reads the server's state. Errors wrap ErrUnavailable.
 	Report func(ctx context.Context) (fleet.Report, error)
-	// Leaving reports whether the server's last answer to any call said that it will end.
+	// Leaving reports whether the server's last response to any call announced that the server will stop.
 	Leaving func() bool
-	// Load gives an order. Errors wrap ErrRejected or ErrUnavailable; with the
-	// latter the order may have been taken.
+	// Load sends a load order. Errors wrap ErrRejected or ErrUnavailable; after ErrUnavailable the server may
+	// have accepted the order.
 	Load func(ctx context.Context, order LoadOrder) error
-	// Stage hands over one piece of a model's weights.
+	// Stage uploads one chunk of a model's weights.
 	Stage func(ctx context.Context, model fleet.ModelName, index int, data []byte) error
-	// ReadStaged reads a piece back. Errors wrap weights.ErrAbsent or ErrUnavailable.
+	// ReadStaged reads a staged chunk. Errors wrap weights.ErrChunkNotFound or ErrUnavailable.
 	ReadStaged func(ctx context.Context, model fleet.ModelName, index int) ([]byte, error)
 }
 
-// ChunkOrigin publishes the weights of models in pieces. Errors wrap a BackoffError where it wants rest.
+// ChunkOrigin is an origin that serves the weights of models in chunks. Errors of any call wrap a BackoffError if the
+// origin requests a backoff.
 type ChunkOrigin struct {
-	// Manifest reads the digests of a version. Errors wrap ErrNotPublished or
-	// ErrUnavailable.
+	// Manifest reads the chunk digests of a version from the origin at an address. Errors wrap ErrNotPublished
+	// or ErrUnavailable.
 	Manifest func(ctx context.Context, at member.Address, model fleet.ModelName, version fleet.WeightsVersion) (*weights.Manifest, error)
-	// Chunk reads one piece. Errors wrap ErrNotPublished, ErrRateLimited or
-	// ErrUnavailable.
+	// Chunk reads one chunk. Errors wrap ErrNotPublished, ErrRateLimited or ErrUnavailable.
 	Chunk func(ctx context.Context, at member.Address, model fleet.ModelName, version fleet.WeightsVersion, index int) ([]byte, error)
 }
 
-// BackoffError reports a server that turned a call away and wants nothing more for a time.
+// BackoffError reports a call that failed because the server has requested a backoff. Delay is the remaining time of
+// the backoff.
 type BackoffError struct {
 	Delay time.Duration
 }
 
-// Error tells the time.
-func (e *BackoffError) Error() string { return fmt.Sprintf("wants rest for %v", e.Delay) }
+// Error returns a message with the requested delay.
+func (e *BackoffError) Error() string { return fmt.Sprintf("server requests a backoff of %v", e.Delay) }
 
-// RequestedBackoff returns for how long a server wants nothing more, as the error of a call says; 0 if it does not.
+// RequestedBackoff returns the delay of the BackoffError that err wraps, or 0 if err wraps none.
 func RequestedBackoff(err error) time.Duration {
-	var rest *BackoffError
-	if errors.As(err, &rest) {
-		return rest.Delay
+	var backoff *BackoffError
+	if errors.As(err, &backoff) {
+		return backoff.Delay
 	}
 	return 0
 }
 
-// InboundMetadata is what a caller's request says about itself.
+// InboundMetadata is the metadata in the headers of a caller's request.
 type InboundMetadata struct {
 	ID  string
 	Key fleet.APIKey
-	// Deadline is how long the caller waits; 0 if it does not say.
+	// Deadline is the time that the caller allows for the request, or 0 if the request has no deadline.
 	Deadline time.Duration
-	// LastEventID is the id of the last event that the caller has; empty if none.
+	// LastEventID is the ID of the last event that the caller has received, or empty if it has received none.
 	LastEventID string
-	// PromptTokens and MaxResponseTokens are the sizes of prompt and longest answer;
-	// ResponseTokensHint is the caller's estimate. 0 where the caller does not say.
+	// PromptTokens is the size of the prompt, MaxResponseTokens the limit of the response and ResponseTokensHint
+	// the caller's estimate of its size, all in tokens. Each is 0 if the request does not state it.
 	PromptTokens       int
 	MaxResponseTokens  int
 	ResponseTokensHint int
 }
 
-// OutboundMetadata is what goes with a request to a backend server.
+// OutboundMetadata is the metadata that an entry box adds to a request to a backend server.
 type OutboundMetadata struct {
 	Server       fleet.ServerID
 	Organisation fleet.OrganisationName
-	// Deadline is how long the server may work.
+	// Deadline is the time that the server may spend on the request.
 	Deadline time.Duration
-	// LastEventID is the id of the last event that the caller has.
+	// LastEventID is the ID of the last event that the caller has received.
 	LastEventID string
-	// Priority is 0 for the most urgent; negative if the server is not told.
+	// Priority is 0 for the most urgent requests. It is not sent if it is negative.
 	Priority int
-	// Version is the version of the weights that must answer; 0 for any.
+	// Version is the version of the weights that must serve the request, or 0 for any version.
 	Version fleet.WeightsVersion
 }
 
-// ResponseMetadata is what a backend server's answer says about itself.
+// ResponseMetadata is the metadata in the headers of a backend server's response.
 type ResponseMetadata struct {
-	// RequestID is the id of the request that is answered.
+	// RequestID is the ID of the request to which the response belongs.
 	RequestID string
-	// NotExecuted is set when the server promises that it did not run the request.
+	// NotExecuted is set if the server guarantees that it did not run the request.
 	NotExecuted bool
-	// Misdirected is set when another server has the address, or the server has
-	// not the weights that were asked for.
+	// Misdirected is set if another server now has the address, or if the server does not have the requested
+	// weights.
 	Misdirected bool
-	// Signed is set when the answer bears the server's signature.
+	// Signed is set if the response carries a signature of the server.
 	Signed bool
-	// Leaving is set when the server says that it will end.
+	// Leaving is set if the server announces that it will stop.
 	Leaving bool
-	// Backoff is for how long the server wants nothing more from this box; 0 if it does not say, never
-	// below. It may be as long as a duration can be.
+	// Backoff is the backoff that the server requests from this box, or 0 if it requests none. It is never
+	// negative and may be as large as the largest time.Duration.
 	Backoff time.Duration
-	// RateLimit is the limit that the server advertises for all entry boxes together. It applies until an answer omits it.
+	// RateLimit is the limit that the server advertises for all entry boxes together. It applies until a response
+	// omits it.
 	RateLimit fleet.RateLimit
-	// ParseErr is what the answer says about the server and could not be read; nil if nothing.
+	// ParseErr reports a header about the server that could not be parsed, or is nil.
 	ParseErr error
 }
 
-// CallerProtocol is how callers and backend servers mark their messages.
+// CallerProtocol defines how the requests of callers and the responses of backend servers carry their metadata.
 type CallerProtocol struct {
+	// ReadRequest parses the headers of a caller's request.
 	ReadRequest func(request *http.Request) InboundMetadata
-	// WriteRequest removes from the headers of a caller's request what must not
-	// be passed on, and adds what the backend server is told.
+	// WriteRequest removes the headers of a caller's request that must not reach the backend server and adds
+	// the outbound metadata.
 	WriteRequest func(header http.Header, outbound OutboundMetadata)
-	ReadResponse func(answer *http.Response) ResponseMetadata
-	// ReadinessPath is where the platform asks whether the box is ready.
+	// ReadResponse parses the headers of a backend server's response.
+	ReadResponse func(response *http.Response) ResponseMetadata
+	// ReadinessPath is the path of the platform's readiness probe.
 	ReadinessPath string
-	// DirectoryPath is where callers ask for addresses.
+	// DirectoryPath is the path of directory queries, by which callers find the addresses of entry boxes.
 	DirectoryPath string
-	// ReadDirectoryQuery reads a caller's question for addresses.
+	// ReadDirectoryQuery parses a caller's directory query.
 	ReadDirectoryQuery func(request *http.Request) DirectoryQuery
-	// NewDirectoryResponse answers such a question with a JSON document.
-	NewDirectoryResponse func(addresses []member.Address, keep time.Duration) any
+	// NewDirectoryResponse returns the response to a directory query, to be encoded as JSON. Callers may use the
+	// addresses for ttl.
+	NewDirectoryResponse func(addresses []member.Address, ttl time.Duration) any
 }
 
-// DirectoryQuery asks which entry boxes a caller should use.
+// DirectoryQuery is a caller's query for the addresses of entry boxes. Host, Region and Domain locate the caller.
 type DirectoryQuery struct {
 	Host   string
 	Region member.Region
 	Domain member.FailureDomain
 }
 
-// DirectPlatform is all that a platform gives to processes that serve callers directly.
+// DirectPlatform is the set of platform services for processes in direct mode.
 type DirectPlatform struct {
 	Facts   FactSource
 	Server  ModelServer
--- a/internal/provider/keyvalue.go
+++ b/internal/provider/keyvalue.go
@@ -1,20 +1,19 @@
-// Package provider holds the seams to what the platform provides: the key-value
-// service, the weight store and origin, the box list and the model engines.
+// Package provider defines the interfaces to the services of the platform: the key-value service, the weight store and
+// origin, the box list and the model engines.
 //
-// Each seam is a struct of function fields, so that a test replaces one call and
-// leaves the rest. The constructors fill them for the published protocols:
+// Each interface is a struct of function fields, so that a test can replace a single call. The constructors return
+// implementations for these protocols:
 //
 //   - key-value service: the JSON form of the etcd v3 API (range, txn, lease, watch)
 //   - weight store and origin: the OCI distribution API (tags, manifests, blobs with ranges)
 //   - box list: the HTTP service discovery format of Prometheus
-//   - model engines: the orders described at Engine, and whatever HTTP API the
-//     engine has for its callers
+//   - model engines: the orders described at Engine, beside the engine's own HTTP API for callers
 //
 // # Usage
 //
 //	kv := provider.NewKeyValue("http://127.0.0.1:2379", http.DefaultClient)
 //	entry, err := kv.Get(ctx, "cinderslip/table")
-//	revision, swapped, err := kv.Swap(ctx, "cinderslip/table", value, entry.Revision, 0)
+//	revision, swapped, err := kv.CompareAndSwap(ctx, "cinderslip/table", value, entry.Revision, 0)
 package provider
 
 import (
@@ -29,22 +28,24 @@
 	"time"
 )
 
-// Revision is the key-value service's own revision of a key; 0 means absent.
+// Revision is the revision that the key-value service assigns to a key. It is 0 if the key is absent.
 type Revision int64
 
-// LeaseID names a lease; 0 means none.
+// LeaseID identifies a lease; 0 stands for no lease.
 type LeaseID int64
 
-// ErrUnavailable reports a call that was surely without effect.
+// ErrUnavailable reports a service that could not be reached or did not return a valid response. A CompareAndSwap that
+// may still have taken effect also wraps ErrUncertain.
 var ErrUnavailable = errors.New("platform service is unavailable")
 
-// ErrUncertain reports a write that may or may not have taken effect.
+// ErrUncertain reports a write with an unknown result: it may or may not have taken effect.
 var ErrUncertain = errors.New("write may have taken effect")
 
 // ErrLeaseLost reports a lease that no longer exists.
-var ErrLeaseLost = errors.New("lease is lost")
+var ErrLeaseLost = errors.New("lease no longer exists")
 
-// KeyValueEntry is the value of one key. Revision is 0 if the key is absent.
+// KeyValueEntry is the value of one key. Revision is that of the last write, CreateRevision that of the key's creation;
+// both are 0 if the key is absent.
 type KeyValueEntry struct {
 	Value          []byte
 	Revision       Revision
@@ -55,20 +56,21 @@
 type KeyValue struct {
 	// Get reads a key. Errors wrap ErrUnavailable.
 	Get func(ctx context.Context, key string) (KeyValueEntry, error)
-	// CompareAndSwap writes a key if its revision is still the expected one, with the
-	// lease if one is given. Errors wrap ErrUncertain.
+	// CompareAndSwap writes a key if its current revision equals expected, and attaches the key to the lease
+	// unless lease is 0. It returns the new revision and whether the key was written. Errors wrap ErrUncertain.
 	CompareAndSwap func(ctx context.Context, key string, value []byte, expected Revision, lease LeaseID) (Revision, bool, error)
-	// Grant opens a lease.
+	// Grant creates a lease. The service expires it after ttl unless it is renewed. Errors wrap ErrUnavailable.
 	Grant func(ctx context.Context, ttl time.Duration) (LeaseID, error)
 	// KeepAlive renews a lease. Errors wrap ErrLeaseLost or ErrUnavailable.
 	KeepAlive func(ctx context.Context, lease LeaseID) error
-	// Revoke ends a lease and removes its keys.
+	// Revoke ends a lease and deletes its keys. Errors wrap ErrUnavailable.
 	Revoke func(ctx context.Context, lease LeaseID) error
-	// Watch waits for a change of the key after the revision.
+	// Watch blocks until the key has changed after a revision or the service cancels the watch. Errors wrap
+	// ErrUnavailable.
 	Watch func(ctx context.Context, key string, after Revision) error
 }
 
-// NewKeyValue returns the seam for a service that speaks the etcd v3 JSON API.
+// NewKeyValue returns a KeyValue that calls the etcd v3 JSON API at base.
 func NewKeyValue(base string, client *http.Client) KeyValue {
 	kv := &etcdClient{base: base, client: client}
 	return KeyValue{
@@ -82,8 +84,7 @@
 	client *http.Client
 }
 
-// The messages of the etcd v3 JSON API. Its 64-bit integers are strings, its
-// bytes base64.
+// Messages of the etcd v3 JSON API, which encodes 64-bit integers as strings and bytes as base64.
 type (
 	etcdPair struct {
 		Key            []byte `json:"key"`
@@ -165,27 +166,27 @@
 	return response.Body, nil
 }
 
-func (c *etcdClient) call(ctx context.Context, path string, message, answer any) error {
+func (c *etcdClient) call(ctx context.Context, path string, message, response any) error {
 	body, err := c.open(ctx, path, message)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = body.Close() }()
-	if err := json.NewDecoder(body).Decode(answer); err != nil {
+	if err := json.NewDecoder(body).Decode(response); err != nil {
 		return fmt.Errorf("reading answer of %s: %w: %w", path, ErrUnavailable, err)
 	}
 	return nil
 }
 
 func (c *etcdClient) get(ctx context.Context, key string) (KeyValueEntry, error) {
-	var answer etcdRangeResponse
-	if err := c.call(ctx, "/v3/kv/range", etcdRange{Key: []byte(key)}, &answer); err != nil {
+	var response etcdRangeResponse
+	if err := c.call(ctx, "/v3/kv/range", etcdRange{Key: []byte(key)}, &response); err != nil {
 		return KeyValueEntry{}, err
 	}
-	if len(answer.Pairs) == 0 {
+	if len(response.Pairs) == 0 {
 		return KeyValueEntry{}, nil
 	}
-	pair := answer.Pairs[0]
+	pair := response.Pairs[0]
 	return KeyValueEntry{
 		Value: pair.Value, Revision: Revision(pair.ModRevision), CreateRevision: Revision(pair.CreateRevision),
 	}, nil
@@ -196,33 +197,33 @@
 		Compare: []etcdCompare{{Result: "EQUAL", Target: "MOD", Key: []byte(key), ModRevision: int64(expected)}},
 		Success: []etcdOperation{{Put: &etcdPut{Key: []byte(key), Value: value, Lease: int64(lease)}}},
 	}
-	var answer etcdTxnResponse
-	if err := c.call(ctx, "/v3/kv/txn", message, &answer); err != nil {
+	var response etcdTxnResponse
+	if err := c.call(ctx, "/v3/kv/txn", message, &response); err != nil {
 		return 0, false, fmt.Errorf("%w: %w", ErrUncertain, err)
 	}
-	return Revision(answer.Header.Revision), answer.Succeeded, nil
+	return Revision(response.Header.Revision), response.Succeeded, nil
 }
 
 func (c *etcdClient) grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
-	var answer etcdLease
-	err := c.call(ctx, "/v3/lease/grant", etcdLease{TTL: int64(ttl / time.Second)}, &answer)
-	return LeaseID(answer.ID), err
+	var response etcdLease
+	err := c.call(ctx, "/v3/lease/grant", etcdLease{TTL: int64(ttl / time.Second)}, &response)
+	return LeaseID(response.ID), err
 }
 
 func (c *etcdClient) keepAlive(ctx context.Context, lease LeaseID) error {
-	var answer etcdKeepAliveResponse
-	if err := c.call(ctx, "/v3/lease/keepalive", etcdLease{ID: int64(lease)}, &answer); err != nil {
+	var response etcdKeepAliveResponse
+	if err := c.call(ctx, "/v3/lease/keepalive", etcdLease{ID: int64(lease)}, &response); err != nil {
 		return err
 	}
-	if answer.Result.TTL <= 0 {
+	if response.Result.TTL <= 0 {
 		return ErrLeaseLost
 	}
 	return nil
 }
 
 func (c *etcdClient) revoke(ctx context.Context, lease LeaseID) error {
-	var answer struct{}
-	return c.call(ctx, "/v3/lease/revoke", etcdLease{ID: int64(lease)}, &answer)
+	var response struct{}
+	return c.call(ctx, "/v3/lease/revoke", etcdLease{ID: int64(lease)}, &response)
 }
 
 func (c *etcdClient) watch(ctx context.Context, key string, after Revision) error {
@@ -234,11 +235,11 @@
 	defer func() { _ = body.Close() }()
 	decoder := json.NewDecoder(body)
 	for {
-		var answer etcdWatchResponse
-		if err := decoder.Decode(&answer); err != nil {
-			return fmt.Errorf("reading watch: %w: %w", ErrUnavailable, err)
+		var response etcdWatchResponse
+		if err := decoder.Decode(&response); err != nil {
+			return fmt.Errorf("reading watch stream: %w: %w", ErrUnavailable, err)
 		}
-		if len(answer.Result.Events) > 0 || answer.Result.Canceled {
+		if len(response.Result.Events) > 0 || response.Result.Canceled {
 			return nil
 		}
 	}
--- a/internal/provider/weights.go
+++ b/internal/provider/weights.go
@@ -11,17 +11,17 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// MediaTypeChunks is the media type of the config blob that holds the chunk
-// manifest of a version published as an OCI artifact.
+// MediaTypeChunks is the media type of the config blob in the OCI artifact of a version. The blob holds the chunk
+// manifest of the version.
 const MediaTypeChunks = "application/vnd.cinderslip.chunks.v1+json"
 
-// ErrNotPublished reports a model or version that the source does not have.
+// ErrNotPublished reports a model or version that the weight source does not have.
 var ErrNotPublished = errors.New("not published")
 
-// ErrRateLimited reports that the source asks to come back later.
+// ErrRateLimited reports a request that the weight source rejected because of its rate limit. It may be retried later.
 var ErrRateLimited = errors.New("source limits its rate")
 
-// manifestLimit bounds the bytes of a chunk manifest.
+// manifestLimit is the maximum number of bytes read from a response, and so the maximum size of a chunk manifest.
 const manifestLimit = 64 << 20
 
 // WeightSource is a weight store or an origin.
@@ -30,15 +30,15 @@
 	// Versions lists the published versions of a model. Errors wrap
 	// ErrNotPublished or ErrUnavailable.
 	Versions func(ctx context.Context, model table.Model) ([]table.ModelVersion, error)
-	// Manifest reads the chunk manifest of a version.
+	// Manifest reads the chunk manifest of a version. Errors wrap ErrRateLimited, ErrNotPublished or
+	// ErrUnavailable.
 	Manifest func(ctx context.Context, model table.Model, version table.ModelVersion) ([]byte, error)
-	// Range reads size bytes of a blob from offset. Errors wrap ErrRateLimited,
+	// Range reads size bytes of a blob, starting at offset. Errors wrap ErrRateLimited,
 	// ErrNotPublished or ErrUnavailable.
 	Range func(ctx context.Context, model table.Model, blob string, offset, size int64) ([]byte, error)
 }
 
-// NewWeightSource returns the seam for a source that speaks the OCI distribution
-// API.
+// NewWeightSource returns a WeightSource that calls the OCI distribution API at base.
 func NewWeightSource(name, base string, client *http.Client) WeightSource {
 	c := &registryClient{base: base, client: client}
 	return WeightSource{Name: name, Versions: c.versions, Manifest: c.manifest, Range: c.blobRange}
@@ -49,7 +49,7 @@
 	client *http.Client
 }
 
-// OCIManifest is the part of an OCI image manifest that is used here.
+// OCIManifest is the subset of an OCI image manifest that this project uses.
 type OCIManifest struct {
 	SchemaVersion int             `json:"schemaVersion"`
 	MediaType     string          `json:"mediaType"`
@@ -57,14 +57,14 @@
 	Layers        []OCIDescriptor `json:"layers"`
 }
 
-// OCIDescriptor points to a blob. Size is in bytes.
+// OCIDescriptor refers to a blob by its digest. Size is in bytes.
 type OCIDescriptor struct {
 	MediaType string `json:"mediaType"`
 	Digest    string `json:"digest"`
 	Size      int64  `json:"size"`
 }
 
-// OCITags is the answer of the tag list.
+// OCITags is the response of the tag list.
 type OCITags struct {
 	Name string   `json:"name"`
 	Tags []string `json:"tags"`
