--- a/internal/standin/boxlist.go
+++ b/internal/standin/boxlist.go
@@ -10,8 +10,7 @@
 	"github.com/cinderslip/cinderslip/internal/provider"
 )
 
-// BoxList is a stand-in of the platform's list of boxes. What is set shows up
-// only after the lag.
+// BoxList is a stand-in for the platform's list of boxes. Its responses show each change only after a lag.
 type BoxList struct {
 	faults
 	handler http.Handler
@@ -29,24 +28,24 @@
 	name    string
 }
 
-// NewBoxList returns an empty list that lags.
+// NewBoxList returns an empty list whose responses show the state of the list as of lag ago.
 func NewBoxList(clock clockwork.Clock, lag time.Duration) *BoxList {
 	l := &BoxList{clock: clock, lag: lag}
 	l.handler = l.withFaults(clock, http.HandlerFunc(l.serve))
 	return l
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP implements http.Handler.
 func (l *BoxList) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.handler.ServeHTTP(w, r) }
 
-// Set adds a box or changes what the list says of it.
+// Set adds a box or replaces its entry.
 func (l *BoxList) Set(box provider.ListedBox) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.changes = append(l.changes, listChange{at: l.clock.Now(), box: box, name: string(box.Box)})
 }
 
-// Remove takes a box off the list.
+// Remove removes a box from the list.
 func (l *BoxList) Remove(box string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,11 +55,11 @@
 func (l *BoxList) serve(w http.ResponseWriter, _ *http.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	seen := l.clock.Now().Add(-l.lag)
+	visibleUntil := l.clock.Now().Add(-l.lag)
 	boxes := make(map[string]provider.ListedBox)
 	var order []string
 	for _, change := range l.changes {
-		if change.at.After(seen) {
+		if change.at.After(visibleUntil) {
 			continue
 		}
 		if _, known := boxes[change.name]; !known {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -17,9 +17,8 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// Engine is a stand-in of a model engine. It takes chunks and fenced orders from
-// its agent and answers POST /v1/chat/completions with a stream of tokens, in
-// the usual form of server-sent events.
+// Engine is a stand-in for a model engine. It accepts chunks and fenced orders from its agent and responds to
+// POST /v1/chat/completions with a stream of tokens as server-sent events.
 type Engine struct {
 	faults
 	handler http.Handler
@@ -35,15 +34,15 @@
 	orders  []provider.Order
 }
 
-// EngineOptions sets how an engine behaves.
+// EngineOptions configures an Engine.
 type EngineOptions struct {
-	// Slots is how many versions fit at once.
+	// Slots is the number of versions that can be loaded at the same time.
 	Slots int
-	// LoadTime is how long a load takes.
+	// LoadTime is the duration of a load.
 	LoadTime time.Duration
-	// TokenInterval is the time between two tokens.
+	// TokenInterval is the delay before each token of a response.
 	TokenInterval time.Duration
-	// Tokens is how many tokens an answer has if the request does not say.
+	// Tokens is the number of tokens of a response if the request does not set max_tokens.
 	Tokens int
 }
 
@@ -64,29 +63,29 @@
 	return e
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.handler.ServeHTTP(w, r) }
 
-// Runs returns how often each request id began to run.
+// Runs returns how often each request ID started to run.
 func (e *Engine) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	started := make(map[string]int, len(e.runs))
+	counts := make(map[string]int, len(e.runs))
 	for id, count := range e.runs {
-		started[id] = count
+		counts[id] = count
 	}
-	return started
+	return counts
 }
 
-// Orders returns the orders obeyed so far.
+// Orders returns the orders executed so far.
 func (e *Engine) Orders() []provider.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]provider.Order(nil), e.orders...)
 }
 
-// Reset drops everything that is loaded, as a restart of the engine does. Its
-// fence stays.
+// Reset removes all loaded versions and staged chunks, as a restart of the engine does. It keeps the highest fencing
+// token, so that older orders are still rejected.
 func (e *Engine) Reset() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -163,21 +162,22 @@
 	return nil
 }
 
-// checkStaged makes sure that no partial or mixed copy is loaded.
+// checkStaged returns an error unless all chunks of the order are staged and match its digest, so that no partial or
+// mixed version is loaded.
 func (e *Engine) checkStaged(order provider.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	chunks := e.staging[order.Manifest.String()]
-	whole := blake3.New()
+	hash := blake3.New()
 	for i := range order.Chunks {
 		data, ok := chunks[i]
 		if !ok {
 			return fmt.Errorf("chunk %d of %d was not staged", i, order.Chunks)
 		}
-		_, _ = whole.Write(data)
+		_, _ = hash.Write(data)
 	}
 	var sum weights.Digest
-	whole.Sum(sum[:0])
+	hash.Sum(sum[:0])
 	if sum != order.WholeDigest {
 		return fmt.Errorf("digest of the whole is %s, want %s", sum.Short(), order.WholeDigest.Short())
 	}
@@ -194,7 +194,7 @@
 	writeJSON(w, state)
 }
 
-// CompletionRequest is the part of a chat completion request that the engine reads.
+// CompletionRequest is the subset of a chat completion request that the engine uses.
 type CompletionRequest struct {
 	Model     string `json:"model"`
 	Stream    bool   `json:"stream"`
@@ -231,16 +231,16 @@
 }
 
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, request CompletionRequest, loaded provider.LoadedVersion) {
-	words := responseTokens(request, loaded, e.options.Tokens)
+	tokens := responseTokens(request, loaded, e.options.Tokens)
 	w.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(w)
-	for _, word := range words {
+	for _, token := range tokens {
 		select {
 		case <-e.clock.After(e.options.TokenInterval):
 		case <-r.Context().Done():
 			return
 		}
-		if _, err := fmt.Fprintf(w, "data: %s\n\n", completionChunk(word, loaded)); err != nil {
+		if _, err := fmt.Fprintf(w, "data: %s\n\n", completionChunk(token, loaded)); err != nil {
 			return
 		}
 		_ = controller.Flush()
@@ -248,22 +248,22 @@
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
 }
 
-func responseTokens(request CompletionRequest, loaded provider.LoadedVersion, tokens int) []string {
+func responseTokens(request CompletionRequest, loaded provider.LoadedVersion, count int) []string {
 	if request.MaxTokens > 0 {
-		tokens = request.MaxTokens
+		count = request.MaxTokens
 	}
 	last := ""
 	if len(request.Messages) > 0 {
 		last = request.Messages[len(request.Messages)-1].Content
 	}
-	words := strings.Fields(fmt.Sprintf("%s %s answers: %s", loaded.Model, loaded.Version, last))
-	for len(words) < tokens {
-		words = append(words, "token"+strconv.Itoa(len(words)))
+	tokens := strings.Fields(fmt.Sprintf("%s %s answers: %s", loaded.Model, loaded.Version, last))
+	for len(tokens) < count {
+		tokens = append(tokens, "token"+strconv.Itoa(len(tokens)))
 	}
-	return words[:tokens]
+	return tokens[:count]
 }
 
-func completionChunk(word string, loaded provider.LoadedVersion) []byte {
+func completionChunk(token string, loaded provider.LoadedVersion) []byte {
 	type delta struct {
 		Content string `json:"content"`
 	}
@@ -276,6 +276,6 @@
 		Model       string   `json:"model"`
 		Fingerprint string   `json:"system_fingerprint"`
 		Choices     []choice `json:"choices"`
-	}{"chat.completion.chunk", string(loaded.Model), loaded.Manifest.Short(), []choice{{Delta: delta{Content: word + " "}}}})
+	}{"chat.completion.chunk", string(loaded.Model), loaded.Manifest.Short(), []choice{{Delta: delta{Content: token + " "}}}})
 	return content
 }
--- a/internal/standin/keyvalue.go
+++ b/internal/standin/keyvalue.go
@@ -1,11 +1,9 @@
-// Package standin holds small stand-ins for what the platform provides, for
-// --dev and for tests: a key-value service, a weight store or origin, a box
-// list, a model engine and a plain service.
+// Package standin implements simple stand-ins for the services of the platform, for the --dev mode and for tests: a
+// key-value service, a weight store or origin, a box list, a model engine and a plain service.
 //
-// Each is an http.Handler that speaks the protocol which the package platform
-// expects. Each has a Fault field: a function that is asked before a call is
-// carried out and can delay it, fail it, or let it take effect and lose its
-// answer.
+// Each stand-in is an http.Handler that implements the protocol of a client in the provider package. A function passed
+// to its SetFault method can inject a fault into each call: a delay, an error status, or a call that takes effect but
+// whose response is lost.
 //
 // # Usage
 //
@@ -25,23 +23,24 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Fault is what happens to one call. The zero Fault does nothing.
+// Fault is a fault injected into one call. The zero value is no fault.
 type Fault struct {
-	// Status answers the call without carrying it out.
+	// Status is the status code of the response, if not 0. The call is not executed then.
 	Status int
-	// Delay holds the call back before it is carried out.
+	// Delay is the time to wait before the call is executed or rejected with Status.
 	Delay time.Duration
-	// DropResponse carries the call out, then breaks the connection.
+	// DropResponse executes the call, then aborts the connection without sending the response.
 	DropResponse bool
 }
 
-// faults is embedded by each stand-in.
+// faults is embedded in each stand-in to inject faults into its calls.
 type faults struct {
 	mu    sync.Mutex
 	fault func(path string) Fault
 }
 
-// SetFault sets what happens to calls; nil ends all faults.
+// SetFault sets the function that returns the fault for each call, by the path of its URL. With nil no faults are
+// injected.
 func (f *faults) SetFault(fault func(path string) Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -58,7 +57,7 @@
 	return fault(path)
 }
 
-// withFaults carries calls out under the current fault.
+// withFaults returns a handler that injects the current fault into each call to next.
 func (f *faults) withFaults(clock clockwork.Clock, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fault := f.next(r.URL.Path)
@@ -81,13 +80,13 @@
 	})
 }
 
-// discardWriter is a ResponseWriter whose answer is lost.
+// discardWriter is a ResponseWriter that discards the response.
 type discardWriter struct{ header http.Header }
 
 func (d discardWriter) Header() http.Header            { return d.header }
 func (d discardWriter) Write(data []byte) (int, error) { return len(data), nil }
 func (d discardWriter) WriteHeader(int)                {}
-func writeJSON(w http.ResponseWriter, answer any)      { _ = json.NewEncoder(w).Encode(answer) }
+func writeJSON(w http.ResponseWriter, response any)    { _ = json.NewEncoder(w).Encode(response) }
 
 type pair struct {
 	Key            []byte `json:"key"`
@@ -102,8 +101,8 @@
 	expires time.Time
 }
 
-// KeyValue is a stand-in of the key-value service. It speaks the part of the
-// etcd v3 JSON API that the project uses.
+// KeyValue is a stand-in for the key-value service. It implements the subset of the etcd v3 JSON API that this project
+// uses.
 type KeyValue struct {
 	faults
 	clock   clockwork.Clock
@@ -117,10 +116,10 @@
 	calls    map[string]int
 }
 
-// valueLimit is the largest value, as the platform states it.
+// valueLimit is the platform's documented maximum size of a value in bytes.
 const valueLimit = 1 << 20
 
-// NewKeyValue returns an empty service.
+// NewKeyValue returns an empty key-value service.
 func NewKeyValue(clock clockwork.Clock) *KeyValue {
 	kv := &KeyValue{
 		clock: clock, revision: 1,
@@ -138,7 +137,7 @@
 	return kv
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP implements http.Handler.
 func (kv *KeyValue) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	kv.mu.Lock()
 	kv.calls[r.URL.Path]++
@@ -146,7 +145,7 @@
 	kv.handler.ServeHTTP(w, r)
 }
 
-// Calls returns how often each path was called.
+// Calls returns the number of calls of each path.
 func (kv *KeyValue) Calls() map[string]int {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
@@ -165,11 +164,11 @@
 	return true
 }
 
-// expire removes leases that have run out, with their keys.
+// expire removes expired leases and their keys. The caller holds kv.mu.
 func (kv *KeyValue) expire() {
 	now := kv.clock.Now()
-	for id, held := range kv.leases {
-		if now.After(held.expires) {
+	for id, granted := range kv.leases {
+		if now.After(granted.expires) {
 			kv.removeLease(id)
 		}
 	}
@@ -177,8 +176,8 @@
 
 func (kv *KeyValue) removeLease(id int64) {
 	delete(kv.leases, id)
-	for key, held := range kv.pairs {
-		if held.lease == id {
+	for key, entry := range kv.pairs {
+		if entry.lease == id {
 			kv.revision++
 			delete(kv.pairs, key)
 			kv.notify()
@@ -200,15 +199,15 @@
 	}
 	kv.mu.Lock()
 	kv.expire()
-	held, ok := kv.pairs[string(message.Key)]
+	entry, ok := kv.pairs[string(message.Key)]
 	kv.mu.Unlock()
-	answer := struct {
+	response := struct {
 		Pairs []pair `json:"kvs"`
 	}{}
 	if ok {
-		answer.Pairs = append(answer.Pairs, held)
+		response.Pairs = append(response.Pairs, entry)
 	}
-	writeJSON(w, answer)
+	writeJSON(w, response)
 }
 
 type txnRequest struct {
@@ -239,20 +238,20 @@
 	kv.expire()
 	for _, operation := range message.Success {
 		put := operation.Put
-		if _, open := kv.leases[put.Lease]; put.Lease != 0 && !open || len(put.Value) > valueLimit {
+		if _, exists := kv.leases[put.Lease]; put.Lease != 0 && !exists || len(put.Value) > valueLimit {
 			http.Error(w, "lease not found or value too large", http.StatusBadRequest)
 			return
 		}
 	}
-	answer := struct {
+	response := struct {
 		Header    responseHeader `json:"header"`
 		Succeeded bool           `json:"succeeded"`
 	}{Succeeded: kv.matches(message)}
-	if answer.Succeeded {
+	if response.Succeeded {
 		kv.put(message)
 	}
-	answer.Header.Revision = kv.revision
-	writeJSON(w, answer)
+	response.Header.Revision = kv.revision
+	writeJSON(w, response)
 }
 
 func (kv *KeyValue) matches(message txnRequest) bool {
@@ -268,14 +267,14 @@
 	kv.revision++
 	for _, operation := range message.Success {
 		put := operation.Put
-		held, ok := kv.pairs[string(put.Key)]
+		entry, ok := kv.pairs[string(put.Key)]
 		if !ok {
-			held = pair{Key: bytes.Clone(put.Key), CreateRevision: kv.revision}
+			entry = pair{Key: bytes.Clone(put.Key), CreateRevision: kv.revision}
 		}
-		held.Value = put.Value
-		held.ModRevision = kv.revision
-		held.lease = put.Lease
-		kv.pairs[string(put.Key)] = held
+		entry.Value = put.Value
+		entry.ModRevision = kv.revision
+		entry.lease = put.Lease
+		kv.pairs[string(put.Key)] = entry
 	}
 	kv.notify()
 }
@@ -306,15 +305,15 @@
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	kv.expire()
-	answer := struct {
+	response := struct {
 		Result leaseMessage `json:"result"`
 	}{Result: leaseMessage{ID: message.ID}}
-	if held, open := kv.leases[message.ID]; open {
-		held.expires = kv.clock.Now().Add(held.ttl)
-		kv.leases[message.ID] = held
-		answer.Result.TTL = int64(held.ttl / time.Second)
+	if granted, exists := kv.leases[message.ID]; exists {
+		granted.expires = kv.clock.Now().Add(granted.ttl)
+		kv.leases[message.ID] = granted
+		response.Result.TTL = int64(granted.ttl / time.Second)
 	}
-	writeJSON(w, answer)
+	writeJSON(w, response)
 }
 
 func (kv *KeyValue) serveRevoke(w http.ResponseWriter, r *http.Request) {
@@ -340,15 +339,15 @@
 	}
 	writeJSON(w, map[string]any{"result": map[string]any{"created": true}})
 	_ = http.NewResponseController(w).Flush()
-	held, ok := kv.waitForChange(r.Context(), string(message.Create.Key), message.Create.StartRevision)
+	entry, ok := kv.waitForChange(r.Context(), string(message.Create.Key), message.Create.StartRevision)
 	if !ok {
 		return
 	}
-	event := map[string]any{"type": "PUT", "kv": held}
+	event := map[string]any{"type": "PUT", "kv": entry}
 	writeJSON(w, map[string]any{"result": map[string]any{"events": []any{event}}})
 }
 
-// leasePollInterval is how often a watch looks for leases that ran out.
+// leasePollInterval is the interval at which a watch checks for expired leases.
 const leasePollInterval = 200 * time.Millisecond
 
 func (kv *KeyValue) waitForChange(ctx context.Context, key string, start int64) (pair, bool) {
@@ -358,11 +357,11 @@
 	for {
 		kv.mu.Lock()
 		kv.expire()
-		held, ok := kv.pairs[key]
+		entry, ok := kv.pairs[key]
 		changed := kv.changed
 		kv.mu.Unlock()
-		if ok && held.ModRevision >= start || existed && !ok {
-			return held, true
+		if ok && entry.ModRevision >= start || existed && !ok {
+			return entry, true
 		}
 		select {
 		case <-changed:
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -8,8 +8,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// PlainService is a stand-in of a plain service. It answers with what it was sent and
-// counts how often each request id ran.
+// PlainService is a stand-in for a plain service. Its response echoes the method, URI and body of the request.
 type PlainService struct {
 	faults
 	handler http.Handler
@@ -18,25 +17,25 @@
 	runs map[string]int
 }
 
-// NewPlainService returns a plain service.
+// NewPlainService returns a PlainService that has not run any requests.
 func NewPlainService(clock clockwork.Clock) *PlainService {
 	p := &PlainService{runs: make(map[string]int)}
 	p.handler = p.withFaults(clock, http.HandlerFunc(p.serve))
 	return p
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP implements http.Handler.
 func (p *PlainService) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.handler.ServeHTTP(w, r) }
 
-// Runs returns how often each request id ran.
+// Runs returns how often each request ID started to run.
 func (p *PlainService) Runs() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	ran := make(map[string]int, len(p.runs))
+	counts := make(map[string]int, len(p.runs))
 	for id, count := range p.runs {
-		ran[id] = count
+		counts[id] = count
 	}
-	return ran
+	return counts
 }
 
 func (p *PlainService) serve(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -22,8 +22,8 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// Registry is a stand-in of a weight store or an origin. It speaks the part of
-// the OCI distribution API that the project uses, and paces what it sends.
+// Registry is a stand-in for a weight store or an origin. It implements the subset of the OCI distribution API that
+// this project uses and limits the rate of the blobs that it sends.
 type Registry struct {
 	faults
 	handler http.Handler
@@ -39,13 +39,13 @@
 	blobs map[string]blob
 }
 
-// blob is in memory or a file.
+// blob holds its content in data, unless path names a file with the content.
 type blob struct {
 	data []byte
 	path string
 }
 
-// NewRegistry returns an empty registry that sends at most bytesPerSecond.
+// NewRegistry returns an empty registry that sends blobs at no more than bytesPerSecond.
 func NewRegistry(clock clockwork.Clock, bytesPerSecond int) *Registry {
 	r := &Registry{
 		limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), max(bytesPerSecond/8, 1)),
@@ -59,19 +59,19 @@
 	return r
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP implements http.Handler.
 func (r *Registry) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	r.handler.ServeHTTP(w, request)
 }
 
-// BytesSent returns the bytes of blob ranges sent so far.
+// BytesSent returns the number of bytes of blobs sent so far.
 func (r *Registry) BytesSent() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.bytesSent
 }
 
-// NamedFile is a file to publish: its content, or the path of a real file.
+// NamedFile is a file to publish. Its content is Content, or that of the file at Path if Path is set.
 type NamedFile struct {
 	Name    string
 	Content []byte
@@ -85,7 +85,7 @@
 	return io.NopCloser(bytes.NewReader(f.Content)), nil
 }
 
-// Publish adds a version and returns its manifest.
+// Publish adds a version of a model, divided into chunks of chunkSize bytes, and returns its manifest.
 func (r *Registry) Publish(model, version string, files []NamedFile, chunkSize int64) (*weights.Manifest, error) {
 	blobs := make(map[string]blob)
 	sources := make([]weights.Source, 0, len(files))
@@ -126,13 +126,13 @@
 		r.repos[model] = repo
 	}
 	repo.tags[version] = tag
-	for digest, held := range blobs {
-		repo.blobs[digest] = held
+	for digest, content := range blobs {
+		repo.blobs[digest] = content
 	}
 	return nil
 }
 
-// PublishDir adds the files of a directory as a version.
+// PublishDir adds the files of a directory as a version of a model, like Publish.
 func (r *Registry) PublishDir(model, version, dir string, chunkSize int64) (*weights.Manifest, error) {
 	var files []NamedFile
 	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
@@ -198,19 +198,19 @@
 
 func (r *Registry) serveBlob(w http.ResponseWriter, request *http.Request) {
 	r.mu.Lock()
-	var held blob
+	var source blob
 	found := false
 	if repo, ok := r.repos[request.PathValue("name")]; ok {
-		held, found = repo.blobs[request.PathValue("digest")]
+		source, found = repo.blobs[request.PathValue("digest")]
 	}
 	r.mu.Unlock()
 	if !found {
 		http.NotFound(w, request)
 		return
 	}
-	var content io.ReadSeeker = bytes.NewReader(held.data)
-	if held.path != "" {
-		file, err := os.Open(held.path)
+	var content io.ReadSeeker = bytes.NewReader(source.data)
+	if source.path != "" {
+		file, err := os.Open(source.path)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
@@ -221,34 +221,34 @@
 	http.ServeContent(&rateLimitedWriter{ResponseWriter: w, registry: r, request: request}, request, "", time.Time{}, content)
 }
 
-// rateLimitedWriter sends no faster than the registry's limit.
+// rateLimitedWriter is a ResponseWriter that limits the rate of the body to that of the registry.
 type rateLimitedWriter struct {
 	http.ResponseWriter
 	registry *Registry
 	request  *http.Request
 }
 
-// Write sends data in pieces that fit the limiter's burst.
-func (p *rateLimitedWriter) Write(data []byte) (int, error) {
+// Write writes data in parts that are no larger than the limiter's burst.
+func (w *rateLimitedWriter) Write(data []byte) (int, error) {
 	sent := 0
 	for sent < len(data) {
-		size := min(len(data)-sent, p.registry.limiter.Burst())
-		if err := p.registry.limiter.WaitN(p.request.Context(), size); err != nil {
+		size := min(len(data)-sent, w.registry.limiter.Burst())
+		if err := w.registry.limiter.WaitN(w.request.Context(), size); err != nil {
 			return sent, err
 		}
-		n, err := p.ResponseWriter.Write(data[sent : sent+size])
+		n, err := w.ResponseWriter.Write(data[sent : sent+size])
 		sent += n
 		if err != nil {
 			return sent, err
 		}
-		p.registry.mu.Lock()
-		p.registry.bytesSent += int64(n)
-		p.registry.mu.Unlock()
+		w.registry.mu.Lock()
+		w.registry.bytesSent += int64(n)
+		w.registry.mu.Unlock()
 	}
 	return sent, nil
 }
 
-// SetRate changes how many bytes per second are sent.
+// SetRate sets the maximum rate of blobs in bytes per second.
 func (r *Registry) SetRate(bytesPerSecond int) {
 	r.limiter.SetLimit(rate.Limit(bytesPerSecond))
 	r.limiter.SetBurst(max(bytesPerSecond/8, 1))
