--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -14,7 +14,7 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// checker collects findings; their places are added by the caller.
+// checker collects findings about settings. The caller adds their positions in the file.
 type checker struct {
 	settings *Settings
 	findings Findings
@@ -98,15 +98,15 @@
 	}
 }
 
-func (c *checker) duration(key string, value Duration, least, most time.Duration) {
-	if time.Duration(value) < least || time.Duration(value) > most {
-		c.add(key, "want a time from %v to %v, got %v", least, most, time.Duration(value))
+func (c *checker) duration(key string, value Duration, lower, upper time.Duration) {
+	if time.Duration(value) < lower || time.Duration(value) > upper {
+		c.add(key, "want a time from %v to %v, got %v", lower, upper, time.Duration(value))
 	}
 }
 
-func (c *checker) number(key string, value, least, most int64) {
-	if value < least || value > most {
-		c.add(key, "want a number from %d to %d, got %d", least, most, value)
+func (c *checker) number(key string, value, lower, upper int64) {
+	if value < lower || value > upper {
+		c.add(key, "want a number from %d to %d, got %d", lower, upper, value)
 	}
 }
 
--- a/internal/settings/direct.go
+++ b/internal/settings/direct.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-// maxPort is the highest port.
+// maxPort is the highest TCP port number.
 const maxPort = 1<<16 - 1
 
 // direct checks the settings of direct mode.
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -10,8 +10,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Finding is one thing wrong with a settings file. Line and Column count from 1
-// and are 0 where the finding has no place, as for a key that is missing.
+// Finding is one error in a settings file. Line and Column count from 1. They are 0 if the finding has no position in
+// the file, for example because a key is missing.
 type Finding struct {
 	File    string
 	Line    int
@@ -20,22 +20,22 @@
 	Message string
 }
 
-// String returns the finding with its place before it.
+// String returns the message, preceded by the position and the key as far as they are known.
 func (f Finding) String() string {
-	place := f.File
+	location := f.File
 	if f.Line > 0 {
-		place = fmt.Sprintf("%s:%d:%d", f.File, f.Line, f.Column)
+		location = fmt.Sprintf("%s:%d:%d", f.File, f.Line, f.Column)
 	}
 	if f.Key != "" {
-		return fmt.Sprintf("%s: %s: %s", place, f.Key, f.Message)
+		return fmt.Sprintf("%s: %s: %s", location, f.Key, f.Message)
 	}
-	return fmt.Sprintf("%s: %s", place, f.Message)
+	return fmt.Sprintf("%s: %s", location, f.Message)
 }
 
-// Findings is every finding about a file; as an error it lists them all.
+// Findings holds all findings about one settings file.
 type Findings []Finding
 
-// Error joins the findings.
+// Error returns all findings, one on each line.
 func (f Findings) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, finding := range f {
@@ -44,7 +44,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads a file, sets defaults and checks the result.
+// Load reads a settings file, sets the defaults and checks the result. The settings are nil if the file cannot be read
+// or is not valid TOML, and must not be used if there are findings.
 func Load(path string) (*Settings, Findings) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -53,36 +54,35 @@
 	return Parse(path, content)
 }
 
-// Parse is Load for content already read.
+// Parse does the same as Load for content that has already been read. name is the file name for the findings.
 func Parse(name string, content []byte) (*Settings, Findings) {
-	places, findings := keyPositions(name, content)
+	positions, findings := keyPositions(name, content)
 	if len(findings) > 0 {
 		return nil, findings
 	}
 	loaded, findings := decode(name, content)
-	broken := make(map[string]bool, len(findings))
+	undecoded := make(map[string]bool, len(findings))
 	for _, finding := range findings {
-		broken[finding.Key] = true
+		undecoded[finding.Key] = true
 	}
 	for _, finding := range loaded.check() {
-		if broken[finding.Key] {
+		if undecoded[finding.Key] {
 			continue
 		}
 		finding.File = name
-		if place, ok := places[finding.Key]; ok {
-			finding.Line, finding.Column = place.line, place.column
+		if at, ok := positions[finding.Key]; ok {
+			finding.Line, finding.Column = at.line, at.column
 		}
 		findings = append(findings, finding)
 	}
 	return loaded, findings
 }
 
-// maxDecodeErrors bounds how many findings of one file are collected.
+// maxDecodeErrors is the maximum number of values of a wrong type that are collected from one file.
 const maxDecodeErrors = 100
 
-// decode collects every unknown key and every value of a wrong type. The decoder
-// stops at the first wrong value, so the line of that value is blanked and the
-// rest is decoded again.
+// decode returns the settings and a finding for each unknown key and each value of a wrong type. The TOML decoder stops
+// at the first value of a wrong type, so decode blanks the line of that value and decodes the remaining text again.
 func decode(name string, content []byte) (*Settings, Findings) {
 	var findings Findings
 	text := string(content)
@@ -92,22 +92,22 @@
 		decoder := toml.NewDecoder(strings.NewReader(text))
 		decoder.DisallowUnknownFields()
 		err := decoder.Decode(loaded)
-		var unknown *toml.StrictMissingError
-		var wrong *toml.DecodeError
+		var unknownKeys *toml.StrictMissingError
+		var decodeErr *toml.DecodeError
 		switch {
 		case err == nil:
 			return loaded, findings
-		case errors.As(err, &unknown):
-			for i := range unknown.Errors {
-				findings = append(findings, decodeFinding(name, &unknown.Errors[i], "unknown key"))
+		case errors.As(err, &unknownKeys):
+			for i := range unknownKeys.Errors {
+				findings = append(findings, decodeFinding(name, &unknownKeys.Errors[i], "unknown key"))
 			}
 			if err := toml.Unmarshal([]byte(text), loaded); err != nil {
 				return loaded, append(findings, Finding{File: name, Message: err.Error()})
 			}
 			return loaded, findings
-		case errors.As(err, &wrong):
-			findings = append(findings, decodeFinding(name, wrong, strings.TrimPrefix(wrong.Error(), "toml: ")))
-			line, _ := wrong.Position()
+		case errors.As(err, &decodeErr):
+			findings = append(findings, decodeFinding(name, decodeErr, strings.TrimPrefix(decodeErr.Error(), "toml: ")))
+			line, _ := decodeErr.Position()
 			text = blankLine(text, line)
 		default:
 			return loaded, append(findings, Finding{File: name, Message: err.Error()})
@@ -116,9 +116,9 @@
 	return &Settings{}, findings
 }
 
-func decodeFinding(name string, problem *toml.DecodeError, message string) Finding {
-	line, column := problem.Position()
-	return Finding{File: name, Line: line, Column: column, Key: strings.Join(problem.Key(), "."), Message: message}
+func decodeFinding(name string, decodeErr *toml.DecodeError, message string) Finding {
+	line, column := decodeErr.Position()
+	return Finding{File: name, Line: line, Column: column, Key: strings.Join(decodeErr.Key(), "."), Message: message}
 }
 
 func blankLine(text string, line int) string {
@@ -131,9 +131,9 @@
 
 type position struct{ line, column int }
 
-// keyPositions finds where each key stands, and reports what is not TOML at all.
+// keyPositions returns the position of each key, or a finding if the content is not valid TOML.
 func keyPositions(name string, content []byte) (map[string]position, Findings) {
-	places := make(map[string]position)
+	positions := make(map[string]position)
 	var parser unstable.Parser
 	parser.Reset(content)
 	prefix := ""
@@ -144,19 +144,19 @@
 		switch node.Kind {
 		case unstable.Table:
 			prefix = keys + "."
-			places[keys] = at
+			positions[keys] = at
 		case unstable.ArrayTable:
 			prefix = fmt.Sprintf("%s[%d].", keys, tables[keys])
 			tables[keys]++
-			places[strings.TrimSuffix(prefix, ".")] = at
+			positions[strings.TrimSuffix(prefix, ".")] = at
 		case unstable.KeyValue:
-			places[prefix+keys] = at
+			positions[prefix+keys] = at
 		}
 	}
 	if err := parser.Error(); err != nil {
 		return nil, Findings{syntaxFinding(name, content)}
 	}
-	return places, nil
+	return positions, nil
 }
 
 func keyPosition(parser *unstable.Parser, node *unstable.Node) (string, position) {
@@ -173,13 +173,14 @@
 	return strings.Join(parts, "."), at
 }
 
-// syntaxFinding gets the place of a syntax error, which the decoder knows.
+// syntaxFinding returns a finding for content that is not valid TOML. It decodes the content again, because the decoder
+// reports the position of the error.
 func syntaxFinding(name string, content []byte) Finding {
 	var ignored map[string]any
 	err := toml.Unmarshal(content, &ignored)
-	var wrong *toml.DecodeError
-	if errors.As(err, &wrong) {
-		return decodeFinding(name, wrong, strings.TrimPrefix(wrong.Error(), "toml: "))
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		return decodeFinding(name, decodeErr, strings.TrimPrefix(decodeErr.Error(), "toml: "))
 	}
 	return Finding{File: name, Message: fmt.Sprint(err)}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,7 @@
-// Package settings reads, completes and checks the settings of a daemon.
+// Package settings loads the settings of a daemon from a TOML file, sets defaults and checks the values.
 //
-// Settings are written in TOML. Everything wrong with a file is collected and
-// reported together, each finding with its line, its column and what is allowed;
-// an unknown key is a finding. Defaults are set in one step before the check.
+// All errors in a file are reported together. Each finding has a line, a column and the allowed values. An unknown key
+// is an error. Defaults are set before the values are checked.
 //
 // # Usage
 //
@@ -14,57 +13,59 @@
 	"time"
 )
 
-// Role is what a daemon does on its box.
+// Role is the function of a daemon on its box.
 type Role string
 
-// The roles.
+// Roles of a daemon.
 const (
+	// RoleEntry accepts requests from callers and forwards them to backend servers.
 	RoleEntry Role = "entry"
+	// RoleAgent distributes weights to the backend servers of its box. In ModeAgents it also forwards requests to
+	// them.
 	RoleAgent Role = "agent"
 )
 
-// Mode is how requests reach backend servers.
+// Mode selects the path of requests to backend servers.
 type Mode string
 
-// The modes.
+// Modes of a daemon.
 const (
-	// ModeAgents sends requests through the agents beside the backend servers.
+	// ModeAgents sends requests through the agents on the boxes of the backend servers.
 	ModeAgents Mode = "agents"
-	// ModeDirect connects entry boxes straight to the backend servers of a
-	// platform that keeps their list, the operators' routes and the wanted
-	// weights in its key-value service.
+	// ModeDirect connects entry boxes directly to backend servers. The platform's key-value service stores the
+	// list of backend servers, the operators' routes and the desired weights.
 	ModeDirect Mode = "direct"
 )
 
-// Preference trades bytes drawn from the origin against time until live.
+// Preference selects between fewer bytes fetched from the origin and less time until new weights are live.
 type Preference string
 
-// The preferences of Weights.Prefer.
+// Values of Weights.Prefer.
 const (
-	// PreferFewestBytes draws about one copy from the origin.
+	// PreferFewestBytes fetches about one copy of the weights from the origin for all boxes together.
 	PreferFewestBytes Preference = "fewest-bytes"
-	// PreferSoonestLive lets second drawers wait half as long.
+	// PreferSoonestLive halves OriginFetchWait, so that the second origin fetcher of a chunk starts sooner.
 	PreferSoonestLive Preference = "soonest-live"
 )
 
-// Duration is a time.Duration written as text, such as "2s".
+// Duration is a time.Duration in text form, for example "2s".
 type Duration time.Duration
 
-// UnmarshalText reads the form of time.ParseDuration.
+// UnmarshalText parses text in the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	value, err := time.ParseDuration(string(text))
 	*d = Duration(value)
 	return err
 }
 
-// MarshalText writes the form of time.ParseDuration.
+// MarshalText returns the duration in the format of time.ParseDuration.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Settings is everything that a daemon reads from its file.
+// Settings is the content of a daemon's settings file.
 type Settings struct {
 	Role Role `toml:"role"`
 	Mode Mode `toml:"mode"`
-	// Organisation, Box, Region and FailureDomain say what and where the box is.
+	// Organisation, Box, Region and FailureDomain identify the box and its location.
 	Organisation  string `toml:"organisation"`
 	Box           string `toml:"box"`
 	Region        string `toml:"region"`
@@ -84,28 +85,28 @@
 
 // Listen holds the addresses to listen on, each an IP address with a port.
 type Listen struct {
-	// Callers is for callers; entry only.
+	// Callers is the address for callers; entry boxes only.
 	Callers string `toml:"callers"`
-	// Operators is for operators and metrics.
+	// Operators is the address for operators and metrics.
 	Operators string `toml:"operators"`
-	// Peers is for the system's own processes.
+	// Peers is the address for the system's other processes.
 	Peers string `toml:"peers"`
-	// Readiness and Directory are for the platform's and the callers' questions;
-	// entry in direct mode only.
+	// Readiness is the address for the platform's readiness probes, Directory the one for callers' directory
+	// queries; entry boxes in direct mode only.
 	Readiness string `toml:"readiness"`
 	Directory string `toml:"directory"`
-	// Metrics serves the process's metrics; direct mode only.
+	// Metrics is the address for metrics; direct mode only.
 	Metrics string `toml:"metrics"`
 }
 
-// Operators says who may use the operators' listener.
+// Operators configures the access to the operators' listener.
 type Operators struct {
-	// TokenFile holds the bearer token. Without it only loopback addresses may
-	// be listened on.
+	// TokenFile is the path of the file with the bearer token. Without it the listener must have a loopback
+	// address.
 	TokenFile string `toml:"token_file"`
 }
 
-// Platform holds the base URLs of what the platform provides.
+// Platform holds the base URLs of the platform's services.
 type Platform struct {
 	KeyValue    string `toml:"key_value"`
 	BoxList     string `toml:"box_list"`
@@ -113,101 +114,100 @@
 	Origin      string `toml:"origin"`
 }
 
-// Peers tells how to find the system's other processes.
+// Peers configures the discovery and failure detection of the system's other processes.
 type Peers struct {
-	// Entries are peer addresses of some entry boxes, to begin with.
+	// Entries are the peer addresses of the entry boxes to contact first.
 	Entries []string `toml:"entries"`
-	// Heartbeat is the time between two heartbeats.
+	// Heartbeat is the interval between heartbeats.
 	Heartbeat Duration `toml:"heartbeat"`
-	// SilenceTimeout is after how long without a heartbeat a box counts as silent.
+	// SilenceTimeout is the time without a heartbeat after which a box is marked silent.
 	SilenceTimeout Duration `toml:"silence"`
 }
 
-// Requests tunes an entry box's work for callers.
+// Requests configures how an entry box handles the requests of callers.
 type Requests struct {
-	// SlotsPerReplica is how many requests each live replica takes at once,
-	// summed over all entry boxes.
+	// SlotsPerReplica is the number of concurrent requests to each live replica, summed over all entry boxes.
 	SlotsPerReplica int `toml:"places_per_replica"`
-	// QueuePerGroup bounds the requests of one group that wait.
+	// QueuePerGroup is the maximum number of queued requests of one group.
 	QueuePerGroup int `toml:"queue_per_group"`
-	// Deadline is that of a request which names none.
+	// Deadline is the default deadline of a request.
 	Deadline Duration `toml:"deadline"`
-	// RetryBodyLimit bounds a request's body that is kept for a retry, in bytes.
+	// RetryBodyLimit is the maximum size in bytes of a request body that is kept for retries.
 	RetryBodyLimit int64 `toml:"retry_body_limit_bytes"`
-	// EntriesTTL is how long a caller may keep the list of entry boxes.
+	// EntriesTTL is the time for which a caller may use the list of entry boxes.
 	EntriesTTL Duration `toml:"entries_ttl"`
 }
 
-// Agent describes what stands on an agent's box.
+// Agent lists the backend servers on an agent's box.
 type Agent struct {
 	Engine   Engine    `toml:"engine"`
 	Services []Service `toml:"services"`
 }
 
-// Engine is the model engine of the box; an empty URL means that there is none.
+// Engine describes the model engine of the box. The box has none if URL is empty.
 type Engine struct {
 	URL    string   `toml:"url"`
 	Models []string `toml:"models"`
-	// Slots is how many versions fit into the engine's memory at once.
+	// Slots is the number of versions that fit into the engine's memory at the same time.
 	Slots int `toml:"slots"`
 }
 
-// Service is a plain service on the box.
+// Service describes a plain service of the box.
 type Service struct {
 	Name string `toml:"name"`
 	URL  string `toml:"url"`
 }
 
-// Weights tunes the distribution of weights.
+// Weights configures the distribution of weights.
 type Weights struct {
 	Prefer Preference `toml:"prefer"`
-	// MemoryLimit bounds the chunks held in memory, in bytes.
+	// MemoryLimit is the maximum total size in bytes of the chunks held in memory.
 	MemoryLimit int64 `toml:"memory_limit_bytes"`
-	// RankDelay is how long a box waits for the one before it in the order of
-	// drawers.
+	// OriginFetchWait is the time that a box waits for a chunk from the origin fetcher of the preceding rank before
+	// it fetches the chunk from the origin itself.
 	OriginFetchWait Duration `toml:"draw_wait"`
 }
 
-// Direct tunes a process in direct mode.
+// Direct configures a process in direct mode.
 type Direct struct {
-	// Store is the address of the platform's key-value service.
+	// Store is the address of the platform's key-value service, an IP address with a port.
 	Store string `toml:"store"`
-	// Server is the address of the backend server on the agent's box, Service the
-	// service that it belongs to.
+	// Server is the address of the backend server on the agent's box, Service the service to which it belongs;
+	// agents only.
 	Server  string `toml:"server"`
 	Service string `toml:"service"`
-	// AgentPort is where the agent on a backend server's box is reached.
+	// AgentPort is the port of the agent on the box of each backend server.
 	AgentPort int `toml:"agent_port"`
-	// Domains gives the region of each failure domain.
+	// Domains maps each failure domain to its region.
 	Domains map[string]string `toml:"domains"`
-	// MemoryLimitMegabytes bounds the process's memory, in millions of bytes.
+	// MemoryLimitMegabytes is the memory limit of the process, in millions of bytes.
 	MemoryLimitMegabytes float64 `toml:"memory_limit_megabytes"`
-	// LinkMbps is the rate of the box's link, in Mbit/s.
+	// LinkMbps is the rate of the box's network link, in Mbit/s.
 	LinkMbps float64 `toml:"link_mbps"`
-	// VersionBound is how long after newer weights were named older ones may
-	// still start a request.
+	// VersionBound is the time after the publication of newer weights during which older ones may still start
+	// requests.
 	VersionBound Duration `toml:"version_bound"`
-	// SettleTime is how long after its start a box is not yet held to its bounds.
+	// SettleTime is the time after its start during which a box is not yet required to comply with the bounds.
 	SettleTime Duration `toml:"settle_time"`
-	// ChangeBound is how long after a change of the platform's store it must be in force.
+	// ChangeBound is the maximum time until a change in the platform's store takes effect.
 	ChangeBound Duration `toml:"change_bound"`
-	// DirectoryTTL is how long callers may keep the addresses they are told.
+	// DirectoryTTL is the time for which callers may use the addresses of a directory response.
 	DirectoryTTL Duration `toml:"directory_ttl"`
-	// RetryRatio and RetryExtra bound the attempts beyond the first of each
-	// request of a service within RetryWindow, over all entry boxes. Either may be 0.
+	// RetryRatio and RetryExtra limit the retries for a service within RetryWindow, over all entry boxes
+	// together, to RetryRatio times the number of requests plus RetryExtra. Either may be 0.
 	RetryRatio  *float64 `toml:"retry_ratio"`
 	RetryExtra  *float64 `toml:"retry_extra"`
 	RetryWindow Duration `toml:"retry_window"`
 }
 
-// Log says what is logged.
+// Log configures the log.
 type Log struct {
 	Level string `toml:"level"`
 }
 
-// Stop says how a planned stop goes.
+// Stop configures a planned stop.
 type Stop struct {
-	// Grace bounds the time to finish what is in progress.
+	// Grace is the maximum time to finish the requests in progress.
 	Grace Duration `toml:"grace"`
 }
 
@@ -234,7 +234,7 @@
 	defaultRetryWindow     = Duration(10 * time.Second)
 )
 
-// Default fills everything that the file left out.
+// Default sets the default of each setting that has its zero value.
 func (s *Settings) Default() {
 	setDefault(&s.Organisation, defaultOrganisation)
 	setDefault(&s.Mode, ModeAgents)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/tools/txtar"
 )
 
-// Each file holds settings and the findings about them, with their places.
+// Each file in testdata holds settings and the expected findings with their positions.
 func TestFindingsIncludeLineAndColumn(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	require.NoError(t, err)
--- a/internal/settings/template_test.go
+++ b/internal/settings/template_test.go
@@ -12,11 +12,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// templateData are what the platform fills the template from.
+// templateData holds the values that the platform substitutes in the template.
 type templateData map[string]any
 
-func (f templateData) get(name string) any {
-	var value any = map[string]any(f)
+func (d templateData) get(name string) any {
+	var value any = map[string]any(d)
 	for part := range strings.SplitSeq(name, ".") {
 		switch at := value.(type) {
 		case map[string]any:
@@ -39,24 +39,25 @@
 	variablePattern = regexp.MustCompile(`\{\{([\w.@]+)(\|json)?\}\}`)
 )
 
-// renderTemplate fills the template as the platform's pages describe it, as far as it is used.
-func renderTemplate(text string, f templateData) string {
-	text = sectionPattern.ReplaceAllStringFunc(text, func(found string) string {
-		parts := sectionPattern.FindStringSubmatch(found)
-		value := f.get(parts[2])
-		given := value != nil && value != false && value != ""
+// renderTemplate renders a template in the platform's template language. It supports only the features that
+// deploy/settings.toml.tmpl uses.
+func renderTemplate(text string, data templateData) string {
+	text = sectionPattern.ReplaceAllStringFunc(text, func(match string) string {
+		parts := sectionPattern.FindStringSubmatch(match)
+		value := data.get(parts[2])
+		present := value != nil && value != false && value != ""
 		if parts[1] == "^" {
-			if given {
+			if present {
 				return ""
 			}
-			return renderTemplate(parts[3], f)
+			return renderTemplate(parts[3], data)
 		}
 		table, ok := value.(map[string]any)
 		switch {
-		case !given:
+		case !present:
 			return ""
 		case !ok:
-			return renderTemplate(parts[3], f)
+			return renderTemplate(parts[3], data)
 		}
 		var out strings.Builder
 		names := make([]string, 0, len(table))
@@ -69,9 +70,9 @@
 		}
 		return out.String()
 	})
-	return variablePattern.ReplaceAllStringFunc(text, func(found string) string {
-		parts := variablePattern.FindStringSubmatch(found)
-		value := f.get(parts[1])
+	return variablePattern.ReplaceAllStringFunc(text, func(match string) string {
+		parts := variablePattern.FindStringSubmatch(match)
+		value := data.get(parts[1])
 		if parts[2] != "" {
 			raw, err := json.Marshal(value)
 			if err != nil {
@@ -86,15 +87,15 @@
 	})
 }
 
-// decodeTemplateData decodes fields as the platform has them.
-func decodeTemplateData(t *testing.T, listen string, numbers string) templateData {
+// decodeTemplateData returns template data with the platform's field names.
+func decodeTemplateData(t *testing.T, listen string, limits string) templateData {
 	t.Helper()
-	var f templateData
+	var data templateData
 	require.NoError(t, json.Unmarshal([]byte(`{
 		"NodeName": "edge-kita-a-1", "Ip": "10.1.0.40", "Zone": "kita-a", "Region": "kita", "InternalPorts": [7700, 7715],
 		"Seeds": ["10.1.0.40:8000", "10.2.0.37:8000"], "Zones": {"kita-a": "kita", "minami-a": "minami"},
-		"Provider": {"Address": "10.200.1.7:8007"}, `+listen+`, `+numbers+`}`), &f))
-	return f
+		"Provider": {"Address": "10.200.1.7:8007"}, `+listen+`, `+limits+`}`), &data))
+	return data
 }
 
 const (
@@ -102,24 +103,25 @@
 	agentListen = `"Listen": {}, "app": "10.1.0.40:8100", "Service": "kakiwake"`
 )
 
-// A deployment whose bounds were fractions could not start at all.
+// Guards against a template that renders fractional limits or bounds to values that the settings reject: a deployment
+// with fractional bounds could not start. A retry budget of zero must not be replaced by the default.
 func TestTemplateRendersValidSettings(t *testing.T) {
 	template, err := os.ReadFile("../../deploy/settings.toml.tmpl")
 	require.NoError(t, err)
-	bounds := map[string]string{
-		"whole":     `"Limits": {"MemoryMb": 284, "LinkMbps": 1000}, "Bounds": {"version_ms": 8000, "RetryBudgetRatio": 1, "RetryBudgetExtra": 100, "RetryWindowS": 10, "GraceS": 8}`,
-		"fractions": `"Limits": {"MemoryMb": 184.5, "LinkMbps": 9.4}, "Bounds": {"version_ms": 8000.5, "RetryBudgetRatio": 0.2, "RetryBudgetExtra": 100.8, "RetryWindowS": 9.5, "GraceS": 7.25}`,
-		"none":      `"Limits": {"MemoryMb": 152, "LinkMbps": 9}, "Bounds": {"RetryBudgetRatio": 0, "RetryBudgetExtra": 0, "RetryWindowS": 10, "GraceS": 8}`,
+	limitsByName := map[string]string{
+		"integers":    `"Limits": {"MemoryMb": 284, "LinkMbps": 1000}, "Bounds": {"version_ms": 8000, "RetryBudgetRatio": 1, "RetryBudgetExtra": 100, "RetryWindowS": 10, "GraceS": 8}`,
+		"fractions":   `"Limits": {"MemoryMb": 184.5, "LinkMbps": 9.4}, "Bounds": {"version_ms": 8000.5, "RetryBudgetRatio": 0.2, "RetryBudgetExtra": 100.8, "RetryWindowS": 9.5, "GraceS": 7.25}`,
+		"zero budget": `"Limits": {"MemoryMb": 152, "LinkMbps": 9}, "Bounds": {"RetryBudgetRatio": 0, "RetryBudgetExtra": 0, "RetryWindowS": 10, "GraceS": 8}`,
 	}
-	for name, numbers := range bounds {
+	for name, limits := range limitsByName {
 		for role, listen := range map[Role]string{RoleEntry: entryListen, RoleAgent: agentListen} {
 			t.Run(name+"/"+string(role), func(t *testing.T) {
-				text := renderTemplate(string(template), decodeTemplateData(t, listen, numbers))
+				text := renderTemplate(string(template), decodeTemplateData(t, listen, limits))
 				loaded, findings := Parse("settings.toml", []byte(text))
 				require.Empty(t, findings, text)
 				require.Equal(t, role, loaded.Role)
-				if name == "none" {
-					require.Zero(t, *loaded.Direct.RetryExtra, "an allowance of nothing is not one that was left out")
+				if name == "zero budget" {
+					require.Zero(t, *loaded.Direct.RetryExtra, "a retry budget of zero is replaced by the default")
 					require.Zero(t, *loaded.Direct.RetryRatio)
 				}
 			})
