--- a/cmd/cinderslip/client.go
+++ b/cmd/cinderslip/client.go
@@ -16,7 +16,8 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// client calls the operators' interface of an entry box.
+// client calls the operator API of an entry box. base is the server's URL without a path; it is empty if no server was
+// given.
 type client struct {
 	base  string
 	token string
@@ -33,23 +34,23 @@
 	}
 	content, err := os.ReadFile(global.TokenFile)
 	if err != nil {
-		return nil, withCode(exitUsage, fmt.Errorf("reading the token: %w", err))
+		return nil, withCode(exitUsage, fmt.Errorf("reading token file: %w", err))
 	}
 	c.token = strings.TrimSpace(string(content))
 	return c, nil
 }
 
-// problemError is a problem document from the server.
+// problemError is a problem document (RFC 9457) that the server sent instead of a result.
 type problemError struct{ daemon.Problem }
 
-// Error lists what the document says, each conflict and finding on a line.
+// Error returns the title and detail of the document, or its title followed by one line for each conflict and finding.
 func (e *problemError) Error() string {
 	if len(e.Conflicts) == 0 && len(e.Findings) == 0 {
 		return fmt.Sprintf("%s: %s", e.Title, e.Detail)
 	}
 	lines := []string{e.Title + ":"}
 	for _, conflict := range e.Conflicts {
-		lines = append(lines, fmt.Sprintf("  row %s, column %s: edit %s wants %q, edit %s by %q made it %q",
+		lines = append(lines, fmt.Sprintf("  row %s, column %s: edit %s sets %q, but edit %s by %q set it to %q",
 			conflict.Key, conflict.Column, conflict.Edit, conflict.Requested, conflict.OtherEdit, conflict.OtherAuthor, conflict.Current))
 	}
 	for _, finding := range e.Findings {
@@ -58,20 +59,20 @@
 	return strings.Join(lines, "\n")
 }
 
-// errNoResponse reports that the server gave no answer to a call that was sent.
-var errNoResponse = errors.New("no answer from the server")
+// errNoResponse reports that no complete response to a request was received, so the server may have executed it.
+var errNoResponse = errors.New("no response from the server")
 
-// call sends a request and decodes the answer, if answer is not nil. A problem
-// document is returned as *problemError with its exit code.
-func (c *client) call(ctx context.Context, method, path string, header http.Header, message, answer any) error {
+// call sends a request, with message as its JSON body unless message is nil, and decodes the response into out unless
+// out is nil. A problem document is returned as *problemError with the matching exit code.
+func (c *client) call(ctx context.Context, method, path string, header http.Header, message, out any) error {
 	if c.base == "" {
-		return withCode(exitUsage, errors.New("want --server ADDRESS or CINDERSLIP_SERVER"))
+		return withCode(exitUsage, errors.New("no server given: set --server ADDRESS or CINDERSLIP_SERVER"))
 	}
 	var body io.Reader = http.NoBody
 	if message != nil {
 		content, err := json.Marshal(message)
 		if err != nil {
-			return fmt.Errorf("encoding the request: %w", err)
+			return fmt.Errorf("encoding request: %w", err)
 		}
 		body = bytes.NewReader(content)
 	}
@@ -93,10 +94,10 @@
 	if response.StatusCode != http.StatusOK {
 		return readProblem(response)
 	}
-	if answer == nil {
+	if out == nil {
 		return nil
 	}
-	if err := json.NewDecoder(response.Body).Decode(answer); err != nil {
+	if err := json.NewDecoder(response.Body).Decode(out); err != nil {
 		return withCode(exitUnavailable, fmt.Errorf("%w: %w", errNoResponse, err))
 	}
 	return nil
@@ -105,7 +106,7 @@
 func readProblem(response *http.Response) error {
 	problem := &problemError{}
 	if err := json.NewDecoder(response.Body).Decode(&problem.Problem); err != nil {
-		problem.Title, problem.Detail = response.Status, "the answer is not a problem document"
+		problem.Title, problem.Detail = response.Status, "the response is not a problem document"
 	}
 	switch response.StatusCode {
 	case http.StatusConflict, http.StatusUnprocessableEntity, http.StatusPreconditionFailed:
@@ -119,15 +120,15 @@
 }
 
 func (c *client) table(ctx context.Context) (daemon.TableResponse, error) {
-	var answer daemon.TableResponse
-	err := c.call(ctx, http.MethodGet, "/v1/table", nil, nil, &answer)
-	return answer, err
+	var response daemon.TableResponse
+	err := c.call(ctx, http.MethodGet, "/v1/table", nil, nil, &response)
+	return response, err
 }
 
 func (c *client) status(ctx context.Context) (daemon.StatusResponse, error) {
-	var answer daemon.StatusResponse
-	err := c.call(ctx, http.MethodGet, "/v1/status", nil, nil, &answer)
-	return answer, err
+	var response daemon.StatusResponse
+	err := c.call(ctx, http.MethodGet, "/v1/status", nil, nil, &response)
+	return response, err
 }
 
 func (c *client) history(ctx context.Context) ([]table.EditRecord, error) {
@@ -136,8 +137,7 @@
 	return records, err
 }
 
-// editRecord reads back the record of an edit; found is false if the table does not
-// hold it.
+// editRecord returns the record of an edit; found is false if the table has no such edit.
 func (c *client) editRecord(ctx context.Context, id table.EditID) (record table.EditRecord, found bool, err error) {
 	err = c.call(ctx, http.MethodGet, "/v1/table/edits/"+url.PathEscape(string(id)), nil, nil, &record)
 	var problem *problemError
@@ -148,14 +148,14 @@
 }
 
 func (c *client) patch(ctx context.Context, base table.Revision, patch daemon.TablePatch) (daemon.PatchResponse, error) {
-	var answer daemon.PatchResponse
+	var response daemon.PatchResponse
 	header := http.Header{"If-Match": []string{fmt.Sprintf("%q", fmt.Sprint(base))}}
-	err := c.call(ctx, http.MethodPatch, "/v1/table", header, patch, &answer)
-	return answer, err
+	err := c.call(ctx, http.MethodPatch, "/v1/table", header, patch, &response)
+	return response, err
 }
 
 func (c *client) entries(ctx context.Context, service string) (daemon.EntriesResponse, error) {
-	var answer daemon.EntriesResponse
-	err := c.call(ctx, http.MethodGet, "/v1/entries?service="+url.QueryEscape(service), nil, nil, &answer)
-	return answer, err
+	var response daemon.EntriesResponse
+	err := c.call(ctx, http.MethodGet, "/v1/entries?service="+url.QueryEscape(service), nil, nil, &response)
+	return response, err
 }
--- a/cmd/cinderslip/copies.go
+++ b/cmd/cinderslip/copies.go
@@ -11,44 +11,44 @@
 	"github.com/cinderslip/cinderslip/internal/report"
 )
 
-// copies tells from collected logs how agents came to newer weights, and which step took how long.
+// copies prints, from collected logs, when each agent reached each step of a rollout of weights.
 type copies struct {
 	Model   string `long:"model" value-name:"NAME" description:"only this model"`
 	Version int    `long:"version" value-name:"N" description:"only this version"`
 	Format  string `long:"format" choice:"table" choice:"json" default:"table" description:"how to print it"`
-	Plot    string `long:"plot" value-name:"FILE" description:"also write how many agents had taken each step over time, as SVG; wants one version"`
+	Plot    string `long:"plot" value-name:"FILE" description:"also write how many agents had taken each step over time, as SVG; needs a single version"`
 }
 
 func (c *copies) Run(env *environment, args []string) error {
 	if c.Version < 0 {
-		return withCode(exitUsage, fmt.Errorf("--version wants a whole number above 0, got %d", c.Version))
+		return withCode(exitUsage, fmt.Errorf("--version must be an integer above 0, got %d", c.Version))
 	}
 	events, err := readLogs(env, args)
 	if err != nil {
 		return err
 	}
-	found := c.filter(report.MeasureRollouts(events))
-	if len(found) == 0 {
-		return errors.New("no line tells of a copy of such weights: are these the logs of agents?")
+	rollouts := c.filter(report.MeasureRollouts(events))
+	if len(rollouts) == 0 {
+		return errors.New("no event of a rollout of these weights found; check that the files are logs of agents")
 	}
 	if c.Plot != "" {
-		if len(found) > 1 {
-			return withCode(exitUsage, fmt.Errorf("--plot wants one version, the logs tell of %d: name it with --model and --version", len(found)))
+		if len(rollouts) > 1 {
+			return withCode(exitUsage, fmt.Errorf("--plot needs a single version, but the logs contain %d; select one with --model and --version", len(rollouts)))
 		}
-		if err := plotRollout(c.Plot, &found[0]); err != nil {
+		if err := plotRollout(c.Plot, &rollouts[0]); err != nil {
 			return err
 		}
 	}
 	if c.Format == "json" {
-		return printJSON(env.stdout, found)
+		return printJSON(env.stdout, rollouts)
 	}
-	for i := range found {
-		printRollout(env, &found[i])
+	for i := range rollouts {
+		printRollout(env, &rollouts[i])
 	}
 	return nil
 }
 
-// filter returns the rollouts that were asked for.
+// filter returns the rollouts that match --model and --version.
 func (c *copies) filter(all []report.Rollout) []report.Rollout {
 	var selected []report.Rollout
 	for _, rollout := range all {
@@ -59,9 +59,10 @@
 	return selected
 }
 
-// printRollout prints a line for each agent, in seconds after the version was named, then the soonest, the middle and the latest.
+// printRollout prints a row for each agent with the seconds from publication to each step, and as a footer the minimum,
+// the median and the maximum over all agents.
 func printRollout(env *environment, rollout *report.Rollout) {
-	_, _ = fmt.Fprintf(env.stdout, "%s version %d, named %s\n", rollout.Model, rollout.Version, rollout.PublishedAt.UTC().Format(time.RFC3339Nano))
+	_, _ = fmt.Fprintf(env.stdout, "%s version %d, published %s\n", rollout.Model, rollout.Version, rollout.PublishedAt.UTC().Format(time.RFC3339Nano))
 	var steps []report.Step
 	columns := []any{"agent", "start"}
 	soonest, middle, latest := table.Row{"soonest", ""}, table.Row{"middle", ""}, table.Row{"latest", ""}
@@ -94,7 +95,7 @@
 	writer.Render()
 }
 
-// formatSeconds prints how long after the version was named a step was taken.
+// formatSeconds formats the time from publication to a step, in seconds.
 func formatSeconds(after time.Duration) string { return fmt.Sprintf("%.3f", after.Seconds()) }
 
 func plotRollout(path string, rollout *report.Rollout) error {
--- a/cmd/cinderslip/limits.go
+++ b/cmd/cinderslip/limits.go
@@ -10,7 +10,7 @@
 	"github.com/cinderslip/cinderslip/internal/direct"
 )
 
-// limits lists the backend servers with a rate limit.
+// limits prints the backend servers that advertise a rate limit.
 type limits struct {
 	Format string `long:"format" choice:"table" choice:"json" default:"table" description:"how to print it"`
 }
--- a/cmd/cinderslip/losses.go
+++ b/cmd/cinderslip/losses.go
@@ -9,7 +9,7 @@
 	"github.com/cinderslip/cinderslip/internal/report"
 )
 
-// losses tells where requests were lost, and why.
+// losses prints, from collected logs, how many requests failed or were late, grouped and by cause.
 type losses struct {
 	By     string `long:"by" choice:"all" choice:"second" choice:"route" choice:"size" choice:"organisation" choice:"box" default:"all" description:"what to group by"`
 	Format string `long:"format" choice:"table" choice:"json" default:"table" description:"how to print it"`
@@ -21,9 +21,9 @@
 	if err != nil {
 		return err
 	}
-	found := report.MeasureLosses(events, report.Dimension(l.By))
-	if len(found) == 0 {
-		return errors.New("no line tells of a request of a route: are these the logs of entry boxes?")
+	groups := report.MeasureLosses(events, report.Dimension(l.By))
+	if len(groups) == 0 {
+		return errors.New("no event of a request with a route found; check that the files are logs of entry boxes")
 	}
 	if l.Plot != "" {
 		if err := plotLosses(l.Plot, report.MeasureLosses(events, report.BySecond)); err != nil {
@@ -31,22 +31,22 @@
 		}
 	}
 	if l.Format == "json" {
-		return printJSON(env.stdout, found)
+		return printJSON(env.stdout, groups)
 	}
 	if l.By == string(report.ByNothing) {
-		printCauses(env, &found[0])
+		printCauses(env, &groups[0])
 		return nil
 	}
 	writer := newTableWriter(env.stdout, l.By, "asked", "in time", "late", "lost for good", "most lost as")
-	for i := range found {
-		group := &found[i]
+	for i := range groups {
+		group := &groups[i]
 		writer.AppendRow(table.Row{group.Group, group.Callers(), group.InTime(), group.Late(), group.Lost(), group.MainCause()})
 	}
 	writer.Render()
 	return nil
 }
 
-// printCauses prints how many requests had each cause.
+// printCauses prints the number of new requests and of retries for each cause.
 func printCauses(env *environment, all *report.Losses) {
 	writer := newTableWriter(env.stdout, "cause", "first requests", "returned")
 	for _, cause := range report.Causes {
--- a/cmd/cinderslip/main.go
+++ b/cmd/cinderslip/main.go
@@ -1,4 +1,4 @@
-// Command cinderslip is the operators' command line.
+// Command cinderslip is the command line for operators of a cinderslip system.
 //
 // # Usage
 //
@@ -8,8 +8,8 @@
 //	cinderslip status
 //	cinderslip rollout --watch
 //
-// The server is an operators' address of any entry box, from --server or from
-// CINDERSLIP_SERVER. The exit codes are listed at exitCode and in
+// The server is the operator address of any entry box, from --server or from
+// CINDERSLIP_SERVER. The exit codes are listed in run.go and in
 // docs/operators/command-line.md.
 package main
 
--- a/cmd/cinderslip/report.go
+++ b/cmd/cinderslip/report.go
@@ -12,11 +12,11 @@
 	"github.com/cinderslip/cinderslip/internal/report"
 )
 
-// errNoFiles reports a command that reads logs without any.
-var errNoFiles = errors.New("name the files with the logs of all processes")
+// errNoFiles reports that a command was given no log files.
+var errNoFiles = errors.New("no log files given: name the files with the logs of all processes")
 
-// readLogs reads the logs of all processes, in the order of their times. Lines that
-// cannot be read are told and passed over.
+// readLogs reads the log files and returns their events sorted by time. Invalid lines are reported on stderr and
+// skipped; a file that does not exist or that may not be read is an error.
 func readLogs(env *environment, paths []string) ([]report.Event, error) {
 	if len(paths) == 0 {
 		return nil, withCode(exitUsage, errNoFiles)
@@ -45,12 +45,12 @@
 	return report.Read(filepath.Base(path), file)
 }
 
-// explain tells from collected logs what became of a request, and why.
+// explain prints, from collected logs, how a request ended and why.
 type explain struct{}
 
 func (*explain) Run(env *environment, args []string) error {
 	if len(args) == 0 {
-		return withCode(exitUsage, errors.New("name the request's id, then the files with the logs"))
+		return withCode(exitUsage, errors.New("expected the id of a request, then the log files"))
 	}
 	events, err := readLogs(env, args[1:])
 	if err != nil {
@@ -58,13 +58,13 @@
 	}
 	explanation, ok := report.Explain(events, args[0])
 	if !ok {
-		return fmt.Errorf("no line of %d names request %s: look for a caller that could not connect, or lines that were dropped", len(events), args[0])
+		return fmt.Errorf("none of %d events belongs to request %s; its caller may have failed to connect, or log lines were dropped", len(events), args[0])
 	}
 	_, _ = fmt.Fprint(env.stdout, explanation.String())
 	return nil
 }
 
-// burn tells how fast the service levels of routes were used up.
+// burn prints, from collected logs, the burn rate of the error budget of each route.
 type burn struct {
 	Target  float64         `long:"target" default:"0.99" value-name:"PART" description:"part of the requests that must be answered in time"`
 	Windows []time.Duration `long:"window" default:"1m" default:"5m" default:"1h" value-name:"TIME" description:"span back from the newest line; may be repeated"`
@@ -73,7 +73,7 @@
 
 func (b *burn) Run(env *environment, args []string) error {
 	if b.Target <= 0 || b.Target >= 1 {
-		return withCode(exitUsage, fmt.Errorf("--target wants a part between 0 and 1, got %v", b.Target))
+		return withCode(exitUsage, fmt.Errorf("--target must be between 0 and 1, got %v", b.Target))
 	}
 	events, err := readLogs(env, args)
 	if err != nil {
--- a/cmd/cinderslip/rollout.go
+++ b/cmd/cinderslip/rollout.go
@@ -14,35 +14,35 @@
 	"github.com/cinderslip/cinderslip/pkg/plan"
 )
 
-// rollout shows how far versions have come on the boxes that are to carry them.
+// rollout prints the progress of each version on the boxes that it is assigned to.
 type rollout struct {
-	Watch    bool          `long:"watch" description:"show progress until every box has what it is to carry"`
-	Interval time.Duration `long:"interval" value-name:"TIME" default:"500ms" description:"with --watch: time between two looks"`
+	Watch    bool          `long:"watch" description:"show progress until every box has its assigned versions"`
+	Interval time.Duration `long:"interval" value-name:"TIME" default:"500ms" description:"with --watch: time between two status requests"`
 }
 
 func (r *rollout) Run(env *environment, _ []string) error {
-	answer, err := env.client.status(env.ctx)
+	response, err := env.client.status(env.ctx)
 	if err != nil {
 		return err
 	}
 	if r.Watch {
-		return r.watch(env, answer)
+		return r.watch(env, response)
 	}
 	writer := newTableWriter(env.stdout, "model", "version", "box", "phase", "chunks", "waits")
-	for _, copied := range replicasOf(answer) {
-		writer.AppendRow(table.Row{copied.Model, copied.Version, copied.box, copied.Phase, copied.chunks(), copied.WaitReason})
+	for _, replica := range replicasOf(response) {
+		writer.AppendRow(table.Row{replica.Model, replica.Version, replica.box, replica.Phase, replica.chunks(), replica.WaitReason})
 	}
 	writer.Render()
 	return nil
 }
 
-// replica is a version that a box is to carry, with how far it has come.
+// replica is a version that is assigned to a box, with its progress there.
 type replica struct {
 	member.Copy
 	box member.BoxID
 }
 
-// phaseNotStarted marks a copy of which the box has not said anything yet.
+// phaseNotStarted is the phase of a version that the assigned box has not reported yet.
 const phaseNotStarted member.Phase = "not started"
 
 func (b replica) chunks() string {
@@ -55,86 +55,88 @@
 	return fmt.Sprintf("%d/%d", b.HeldChunks, b.TotalChunks)
 }
 
-// replicasOf joins what the plan wants with what the boxes say.
-func replicasOf(answer daemon.StatusResponse) []replica {
-	records := make(map[member.BoxID]member.Record, len(answer.Boxes))
-	for _, record := range answer.Boxes {
+// replicasOf combines the versions that the plan assigns to boxes with the progress that the boxes report, sorted by
+// model and version.
+func replicasOf(response daemon.StatusResponse) []replica {
+	records := make(map[member.BoxID]member.Record, len(response.Boxes))
+	for _, record := range response.Boxes {
 		records[record.Box] = record
 	}
-	var copies []replica
-	for _, wanted := range answer.Desired {
-		for _, w := range wanted.Versions {
-			copies = append(copies, replica{box: wanted.Box, Copy: replicaState(records[wanted.Box], w)})
+	var replicas []replica
+	for _, desired := range response.Desired {
+		for _, pinned := range desired.Versions {
+			replicas = append(replicas, replica{box: desired.Box, Copy: replicaState(records[desired.Box], pinned)})
 		}
 	}
-	sort.SliceStable(copies, func(i, j int) bool {
-		if copies[i].Model != copies[j].Model {
-			return copies[i].Model < copies[j].Model
+	sort.SliceStable(replicas, func(i, j int) bool {
+		if replicas[i].Model != replicas[j].Model {
+			return replicas[i].Model < replicas[j].Model
 		}
-		return copies[i].Version < copies[j].Version
+		return replicas[i].Version < replicas[j].Version
 	})
-	return copies
+	return replicas
 }
 
-func replicaState(record member.Record, w plan.PinnedVersion) member.Copy {
-	for _, held := range record.Copies {
-		if held.Manifest == w.Manifest {
-			return held
+func replicaState(record member.Record, pinned plan.PinnedVersion) member.Copy {
+	for _, loaded := range record.Copies {
+		if loaded.Manifest == pinned.Manifest {
+			return loaded
 		}
 	}
-	out := member.Copy{Model: w.Model, Version: w.Version, Manifest: w.Manifest, Phase: phaseNotStarted}
+	absent := member.Copy{Model: pinned.Model, Version: pinned.Version, Manifest: pinned.Manifest, Phase: phaseNotStarted}
 	if record.Status != member.StatusUp {
-		out.WaitReason = "box is " + string(record.Status)
+		absent.WaitReason = "box is " + string(record.Status)
 	}
-	return out
+	return absent
 }
 
-// quartersPerBox is how finely a box's progress moves the bar.
+// quartersPerBox is the number of steps of a progress bar for each box: up to three for downloaded chunks, and the
+// fourth when the version is live.
 const quartersPerBox = 4
 
+// progress is the progress of one version: the state of its bar, and on how many of its assigned boxes it is live.
 type progress struct {
 	done, total int64
 	live, boxes int
 }
 
-func progressOf(answer daemon.StatusResponse) map[string]progress {
+func progressOf(response daemon.StatusResponse) map[string]progress {
 	all := make(map[string]progress)
-	for _, copied := range replicasOf(answer) {
-		name := fmt.Sprintf("%s@%s", copied.Model, copied.Version)
+	for _, replica := range replicasOf(response) {
+		name := fmt.Sprintf("%s@%s", replica.Model, replica.Version)
 		p := all[name]
 		p.total += quartersPerBox
 		p.boxes++
 		switch {
-		case copied.Phase == member.PhaseLive:
+		case replica.Phase == member.PhaseLive:
 			p.done += quartersPerBox
 			p.live++
-		case copied.TotalChunks > 0:
-			p.done += int64(copied.HeldChunks * (quartersPerBox - 1) / copied.TotalChunks)
+		case replica.TotalChunks > 0:
+			p.done += int64(replica.HeldChunks * (quartersPerBox - 1) / replica.TotalChunks)
 		}
 		all[name] = p
 	}
 	return all
 }
 
-// isPlanned reports whether the plan takes in the whole table in force, with
-// every version that it names.
-func isPlanned(answer daemon.StatusResponse) bool {
-	for _, row := range answer.Rows {
+// isPlanned reports whether the plan is based on the current table or a newer one and targets the version of every row.
+func isPlanned(response daemon.StatusResponse) bool {
+	for _, row := range response.Rows {
 		if row.Plan.Target != row.Version || row.Plan.WaitReason != "" {
 			return false
 		}
 	}
-	return answer.Plan.Table >= answer.Table
+	return response.Plan.Table >= response.Table
 }
 
-// watch draws a bar for each version until all are live.
-func (r *rollout) watch(env *environment, answer daemon.StatusResponse) error {
+// watch draws a progress bar for each version until all versions are planned and live.
+func (r *rollout) watch(env *environment, response daemon.StatusResponse) error {
 	container := mpb.NewWithContext(env.ctx, mpb.WithOutput(env.stdout), mpb.WithAutoRefresh())
 	bars := make(map[string]*mpb.Bar)
 	var current map[string]progress
 	for {
-		current = progressOf(answer)
-		complete := isPlanned(answer)
+		current = progressOf(response)
+		complete := isPlanned(response)
 		for name, p := range current {
 			if bars[name] == nil {
 				bars[name] = container.AddBar(p.total, mpb.PrependDecorators(decor.Name(name)),
@@ -145,7 +147,7 @@
 			complete = complete && p.live == p.boxes
 		}
 		for name, bar := range bars {
-			if _, wanted := current[name]; !wanted {
+			if _, found := current[name]; !found {
 				bar.Abort(true)
 				delete(bars, name)
 			}
@@ -162,7 +164,7 @@
 		if err != nil {
 			return err
 		}
-		answer = next
+		response = next
 	}
 	for _, bar := range bars {
 		bar.SetTotal(-1, true)
--- a/cmd/cinderslip/run.go
+++ b/cmd/cinderslip/run.go
@@ -18,21 +18,19 @@
 // The exit codes.
 const (
 	exitDone = 0
-	// exitFailed is any failure that has no code of its own.
+	// exitFailed is any failure without a code of its own.
 	exitFailed = 1
-	// exitUsage is a command line that makes no sense.
+	// exitUsage is an invalid command line, or a token or table file that cannot be read.
 	exitUsage = 2
-	// exitRefused is an edit that was refused, or a file with findings: nothing
-	// was changed.
+	// exitRefused is a refused edit or a file with findings; nothing was changed.
 	exitRefused = 3
-	// exitUndecided is an edit of which it is not known whether it was accepted.
+	// exitUndecided is an edit that may or may not have been accepted.
 	exitUndecided = 4
-	// exitUnavailable is a server or platform that could not be reached: nothing
-	// was changed.
+	// exitUnavailable is a server or platform service that could not be reached; nothing was changed.
 	exitUnavailable = 5
 )
 
-// exitError carries an exit code.
+// exitError is an error with the exit code that it leads to.
 type exitError struct {
 	code int
 	err  error
@@ -46,7 +44,7 @@
 
 func withCode(code int, err error) error { return &exitError{code, err} }
 
-// environment is what a command works with.
+// environment holds the context, the standard streams and the API client of a command.
 type environment struct {
 	ctx    context.Context
 	stdin  io.Reader
@@ -55,14 +53,14 @@
 	client *client
 }
 
-// globalOptions go with every command.
+// globalOptions are the options that every command accepts.
 type globalOptions struct {
 	Server    string        `long:"server" env:"CINDERSLIP_SERVER" value-name:"ADDRESS" description:"operators' address of an entry box"`
 	TokenFile string        `long:"token-file" env:"CINDERSLIP_TOKEN_FILE" value-name:"FILE" description:"file with the operators' token"`
 	Timeout   time.Duration `long:"timeout" value-name:"TIME" default:"10s" description:"time for one call"`
 }
 
-// command is one subcommand. Run gets the words that are left.
+// command is one subcommand. Run receives the arguments that are not options.
 type command interface {
 	Run(env *environment, args []string) error
 }
@@ -91,7 +89,7 @@
 	return exitFailed
 }
 
-// execute parses the words and runs the command that they name.
+// execute parses the arguments and runs the command that they select.
 func execute(env *environment, args []string) error {
 	global := &globalOptions{}
 	parser := flags.NewNamedParser("cinderslip", flags.HelpFlag|flags.PassDoubleDash)
@@ -119,10 +117,10 @@
 	return err
 }
 
-// adapter lets go-flags parse a command's own options.
+// adapter registers a command with go-flags, which needs an Execute method.
 type adapter struct{ command }
 
-// Execute is never called: the parser's handler runs the command.
+// Execute does nothing: the parser calls its CommandHandler instead, which calls Run.
 func (*adapter) Execute([]string) error { return nil }
 
 // subcommand describes one subcommand.
@@ -139,35 +137,35 @@
 	err = addSubcommands(tables, []subcommand{
 		{"show", "Show the table in force", &tableShow{}},
 		{"set", "Set cells of one row", &tableSet{}},
-		{"apply", "Make the table what a CSV file says", &tableApply{}},
+		{"apply", "Replace the table by the contents of a CSV file", &tableApply{}},
 		{"check", "Check a CSV file without a server", &tableCheck{}},
 		{"history", "Show the last edits", &tableHistory{}},
-		{"settle", "Tell what became of an edit", &tableSettle{}},
+		{"settle", "Show whether an edit was accepted", &tableSettle{}},
 	})
 	if err != nil {
 		return err
 	}
-	held, err := parser.AddCommand("quarantine", "Show and lift what is barred", "Shows the requests that are sent to no backend server, as those that began to run them have ended, and lifts bars. --server is the metrics address of an entry box.", &struct{}{})
+	quarantine, err := parser.AddCommand("quarantine", "Show and lift quarantined requests", "Shows the requests that are sent to no backend server because servers that started them exited, and lifts their quarantine. --server is the metrics address of an entry box.", &struct{}{})
 	if err != nil {
 		return err
 	}
-	err = addSubcommands(held, []subcommand{
-		{"list", "Show the requests that are barred", &quarantineList{}},
-		{"lift", "Lift the bar of one request, on all boxes", &quarantineLift{}},
+	err = addSubcommands(quarantine, []subcommand{
+		{"list", "Show the quarantined requests", &quarantineList{}},
+		{"lift", "Lift the quarantine of one request, on all boxes", &quarantineLift{}},
 	})
 	if err != nil {
 		return err
 	}
 	return addSubcommands(parser.Command, []subcommand{
-		{"status", "Show what is in force", &status{}},
+		{"status", "Show the current table and plan", &status{}},
 		{"boxes", "Show the boxes", &boxes{}},
-		{"rollout", "Show how far versions have come", &rollout{}},
+		{"rollout", "Show the progress of versions on their boxes", &rollout{}},
 		{"limits", "Show the backend servers with a rate limit; --server is the metrics address of an entry box", &limits{}},
-		{"resolve", "Show the entry boxes that a caller would be told", &resolve{}},
-		{"explain", "Tell from collected logs what became of a request", &explain{}},
-		{"burn", "Tell from collected logs how fast service levels were used up", &burn{}},
-		{"losses", "Tell from collected logs where requests were lost, and why", &losses{}},
-		{"copies", "Tell from collected logs how agents came to newer weights", &copies{}},
+		{"resolve", "Show the entry boxes that the directory returns to a caller", &resolve{}},
+		{"explain", "Explain from collected logs how a request ended", &explain{}},
+		{"burn", "Show from collected logs how fast error budgets were used up", &burn{}},
+		{"losses", "Show from collected logs which requests failed or were late, and why", &losses{}},
+		{"copies", "Show from collected logs how agents rolled out new weights", &copies{}},
 		{"completion", "Print a script for shell completion", &completion{}},
 		{"version", "Print the version", &version{}},
 	})
@@ -186,7 +184,7 @@
 	return nil
 }
 
-// version prints the version.
+// version prints the version of the command.
 type version struct{}
 
 func (*version) Run(env *environment, _ []string) error {
@@ -194,7 +192,7 @@
 	return err
 }
 
-// completion prints a script for shell completion.
+// completion prints a shell completion script.
 type completion struct{}
 
 const bashCompletion = `_cinderslip() {
@@ -209,7 +207,7 @@
 func (*completion) Run(env *environment, args []string) error {
 	scripts := map[string]string{"bash": bashCompletion, "zsh": zshCompletion}
 	if len(args) != 1 || scripts[args[0]] == "" {
-		return withCode(exitUsage, errors.New("want one shell: bash or zsh"))
+		return withCode(exitUsage, errors.New("expected one shell: bash or zsh"))
 	}
 	_, err := io.WriteString(env.stdout, scripts[args[0]])
 	return err
--- a/cmd/cinderslip/table.go
+++ b/cmd/cinderslip/table.go
@@ -19,40 +19,40 @@
 	cells "github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// revisionPrefix starts the last line of a table that was written as CSV. It
-// lets apply see that the table has changed since.
+// revisionPrefix starts the last line of a table in CSV form. The revision in this line lets apply detect that the
+// table was edited after the file was written.
 const revisionPrefix = "# revision "
 
-// tableShow shows the table in force.
+// tableShow prints the current table.
 type tableShow struct {
 	Format string `long:"format" choice:"table" choice:"csv" choice:"json" default:"table" description:"how to print it"`
 }
 
 func (t *tableShow) Run(env *environment, _ []string) error {
-	answer, err := env.client.table(env.ctx)
+	response, err := env.client.table(env.ctx)
 	if err != nil {
 		return err
 	}
 	switch t.Format {
 	case "csv":
-		if err := cells.WriteCSV(env.stdout, answer.Rows); err != nil {
+		if err := cells.WriteCSV(env.stdout, response.Rows); err != nil {
 			return err
 		}
-		_, err = fmt.Fprintf(env.stdout, "%s%d\n", revisionPrefix, answer.Revision)
+		_, err = fmt.Fprintf(env.stdout, "%s%d\n", revisionPrefix, response.Revision)
 		return err
 	case "json":
-		return printJSON(env.stdout, answer)
+		return printJSON(env.stdout, response)
 	}
 	writer := newTableWriter(env.stdout, "group", "model", "weight", "floor", "ceiling", "version")
-	for _, row := range answer.Rows {
+	for _, row := range response.Rows {
 		writer.AppendRow(table.Row{row.Group, row.Model, row.Weight, row.Floor, row.Ceiling, row.Version})
 	}
 	writer.Render()
-	_, err = fmt.Fprintf(env.stdout, "revision %d\n", answer.Revision)
+	_, err = fmt.Fprintf(env.stdout, "revision %d\n", response.Revision)
 	return err
 }
 
-// newTableWriter returns a plain table that fits a terminal and a pipe.
+// newTableWriter returns a writer for a text table without borders, readable on a terminal and by other programs.
 func newTableWriter(w io.Writer, header ...any) table.Writer {
 	writer := table.NewWriter()
 	writer.SetOutputMirror(w)
@@ -69,12 +69,12 @@
 	return encoder.Encode(value)
 }
 
-// editOptions go with every command that edits.
+// editOptions are the options of every command that edits the table.
 type editOptions struct {
 	Author string        `long:"author" value-name:"NAME" description:"who makes the edit; the user's name if absent"`
 	Reason string        `long:"reason" value-name:"TEXT" description:"why"`
 	ID     string        `long:"id" value-name:"ID" description:"id of the edit; a new one if absent"`
-	Wait   time.Duration `long:"wait" value-name:"TIME" default:"10s" description:"how long to look for an edit whose answer was lost"`
+	Wait   time.Duration `long:"wait" value-name:"TIME" default:"10s" description:"how long to look for an edit whose response was lost"`
 }
 
 func (o *editOptions) patch(changes []cells.Change) daemon.TablePatch {
@@ -91,21 +91,21 @@
 	return patch
 }
 
-// settlePollInterval is the time between two looks for an edit.
+// settlePollInterval is the time between two queries for an edit.
 const settlePollInterval = 250 * time.Millisecond
 
-// submit makes an edit. It ends with accepted, refused or, after the time to
-// wait, undecided; an edit whose answer was lost is looked for, not made again.
+// submit sends an edit and prints the new revision. If the response is lost, it queries the server for the edit
+// instead of sending it again, and returns an error with exitUndecided if the edit is not found within --wait.
 func (o *editOptions) submit(env *environment, base cells.Revision, changes []cells.Change) error {
 	patch := o.patch(changes)
-	answer, err := env.client.patch(env.ctx, base, patch)
+	response, err := env.client.patch(env.ctx, base, patch)
 	if err == nil {
-		_, err = fmt.Fprintf(env.stdout, "accepted: edit %s is revision %d\n", answer.Edit, answer.Revision)
+		_, err = fmt.Fprintf(env.stdout, "accepted: edit %s is revision %d\n", response.Edit, response.Revision)
 		return err
 	}
 	var coded *exitError
-	lost := errors.Is(err, errNoResponse) || errors.As(err, &coded) && coded.code == exitUndecided
-	if !lost {
+	undecided := errors.Is(err, errNoResponse) || errors.As(err, &coded) && coded.code == exitUndecided
+	if !undecided {
 		return err
 	}
 	for deadline := time.Now().Add(o.Wait); time.Now().Before(deadline) && env.ctx.Err() == nil; time.Sleep(settlePollInterval) {
@@ -128,15 +128,15 @@
 
 func (t *tableSet) Run(env *environment, args []string) error {
 	if len(args) < 2 || t.Remove != (len(args) == 2) {
-		return withCode(exitUsage, errors.New("want GROUP MODEL column=value…, or GROUP MODEL --remove"))
+		return withCode(exitUsage, errors.New("expected GROUP MODEL column=value…, or GROUP MODEL --remove"))
 	}
 	change := cells.Change{
 		Key: cells.Key{Group: cells.Group(args[0]), Model: cells.Model(args[1])}, Remove: t.Remove,
 	}
-	for _, word := range args[2:] {
-		column, value, ok := strings.Cut(word, "=")
+	for _, argument := range args[2:] {
+		column, value, ok := strings.Cut(argument, "=")
 		if !ok {
-			return withCode(exitUsage, fmt.Errorf("want column=value, got %q", word))
+			return withCode(exitUsage, fmt.Errorf("expected column=value, got %q", argument))
 		}
 		if change.Set == nil {
 			change.Set = make(map[cells.Column]string)
@@ -150,7 +150,7 @@
 	return t.submit(env, current.Revision, []cells.Change{change})
 }
 
-// tableApply makes the table what a file says.
+// tableApply edits the table so that it equals the contents of a CSV file.
 type tableApply struct {
 	editOptions
 	Base   uint64 `long:"base" value-name:"REVISION" description:"revision that the file is based on; read from the file's last line if absent"`
@@ -170,7 +170,7 @@
 		return err
 	}
 	if revision == 0 {
-		_, _ = fmt.Fprintln(env.stderr, "cinderslip: the file names no revision, so edits made since it was written cannot be seen")
+		_, _ = fmt.Fprintln(env.stderr, "cinderslip: the file has no revision line, so edits made after it was written cannot be detected")
 		revision = current.Revision
 	}
 	if revision != current.Revision {
@@ -184,8 +184,8 @@
 	return t.submit(env, revision, changes)
 }
 
-// refuseStale refuses a file that is based on another revision and names what was
-// edited since.
+// refuseStale returns an error with exitRefused for a file that is based on a revision other than the current one.
+// The error lists the edits made after the file's revision.
 func (t *tableApply) refuseStale(env *environment, base, current cells.Revision) error {
 	lines := []string{fmt.Sprintf("refused: the file is based on revision %d, the table is at %d; show it again and redo the change", base, current)}
 	if records, err := env.client.history(env.ctx); err == nil {
@@ -220,7 +220,7 @@
 	return change.String() + " " + strings.Join(sets, " ")
 }
 
-// printDiff shows each changed cell with its old and new text.
+// printDiff prints a line for each added or removed row and for each changed cell.
 func printDiff(w io.Writer, before []cells.Row, changes []cells.Change) {
 	old := make(map[cells.Key]cells.Row, len(before))
 	for _, row := range before {
@@ -246,7 +246,7 @@
 	}
 }
 
-// tableCheck checks a file without a server.
+// tableCheck checks the syntax and values of a CSV file; it needs no server.
 type tableCheck struct{}
 
 func (*tableCheck) Run(env *environment, args []string) error {
@@ -258,11 +258,11 @@
 	return err
 }
 
-// readCSV reads a table as CSV, with the revision that it names, if any. All
-// findings are reported, each with its place.
+// readCSV reads a table in CSV form and the revision in its last line; the revision is 0 if there is none. The error
+// lists all findings with their positions.
 func readCSV(env *environment, args []string) ([]cells.Row, cells.Revision, error) {
 	if len(args) != 1 {
-		return nil, 0, withCode(exitUsage, errors.New("want one FILE.csv, or - for standard input"))
+		return nil, 0, withCode(exitUsage, errors.New("expected one FILE.csv, or - for standard input"))
 	}
 	var content []byte
 	var err error
@@ -272,7 +272,7 @@
 		content, err = os.ReadFile(args[0])
 	}
 	if err != nil {
-		return nil, 0, withCode(exitUsage, fmt.Errorf("reading the table: %w", err))
+		return nil, 0, withCode(exitUsage, fmt.Errorf("reading table: %w", err))
 	}
 	rows, findings := cells.ParseCSV(strings.NewReader(string(content)))
 	if len(findings) == 0 {
@@ -296,7 +296,7 @@
 	return cells.Revision(revision)
 }
 
-// tableHistory shows the last edits.
+// tableHistory prints the most recent edits.
 type tableHistory struct{}
 
 func (*tableHistory) Run(env *environment, _ []string) error {
@@ -316,12 +316,12 @@
 	return nil
 }
 
-// tableSettle tells what became of an edit that was undecided.
+// tableSettle prints whether an undecided edit was accepted. An edit that is not in the table leads to exitRefused.
 type tableSettle struct{}
 
 func (*tableSettle) Run(env *environment, args []string) error {
 	if len(args) != 1 {
-		return withCode(exitUsage, errors.New("want the id of an edit"))
+		return withCode(exitUsage, errors.New("expected the id of an edit"))
 	}
 	record, found, err := env.client.editRecord(env.ctx, cells.EditID(args[0]))
 	if err != nil {
--- a/cmd/cinderslipd/direct.go
+++ b/cmd/cinderslipd/direct.go
@@ -22,14 +22,15 @@
 	"github.com/cinderslip/cinderslip/platform"
 )
 
-// bytesPerMegabyte converts the memory limit.
+// bytesPerMegabyte converts the memory limit, which is set in megabytes, to bytes.
 const bytesPerMegabyte = 1e6
 
-// heapFraction is the part of the memory limit that the Go runtime keeps to; the
-// rest is for the kernel's buffers and for stacks.
+// heapFraction is the fraction of the memory limit that is set as the Go runtime's memory limit. The rest is left for
+// kernel buffers and stacks.
 const heapFraction = 0.6
 
-// runDirect runs one role in direct mode until a signal, and reads its settings again at each of reload.
+// runDirect runs one role in direct mode until SIGINT or SIGTERM and returns the exit code. It reloads the settings at
+// path at each signal from reload.
 func runDirect(path string, loaded *settings.Settings, stdout io.Writer, reload <-chan os.Signal) int {
 	debug.SetMemoryLimit(int64(heapFraction * bytesPerMegabyte * loaded.Direct.MemoryLimitMegabytes))
 	clock := boottime.NewClock()
@@ -51,26 +52,27 @@
 			reloadSettings(path, process, log)
 		}
 	}
-	// At once, as a hangup between the end of one and the beginning of the other would end the process.
+	// Ignore replaces the registration of SIGHUP in one step. Removing the registration first would leave a moment in
+	// which a hangup ends the process.
 	signal.Ignore(syscall.SIGHUP)
 	exitBefore(clock, time.Duration(loaded.Stop.Grace), log, func() {
 		closeLog(queue)
 		os.Exit(exitFailed)
 	})
 	if err := process.Stop(context.Background()); err != nil {
-		log.Warn().Err(err).Msg("stop was not clean")
+		log.Warn().Err(err).Msg("planned stop failed; exiting")
 		return exitFailed
 	}
 	log.Info().Msg("stopped")
 	return exitDone
 }
 
-// forcedExitMargin is how long before the end of its grace a process that is still stopping ends at
-// once: it would be killed then, and whatever holds it up would take its last lines with it.
-// Writing these takes up to logFlushTimeout.
+// forcedExitMargin is how long before the end of the grace period a process that is still stopping exits. It would be
+// killed at the end of the grace period and lose its last log lines; writing them takes up to logFlushTimeout.
 const forcedExitMargin = 300 * time.Millisecond
 
-// exitBefore ends a process whose planned stop takes longer than its grace allows.
+// exitBefore calls exit forcedExitMargin before the grace period ends. The process still runs then only if its planned
+// stop takes too long.
 func exitBefore(clock clockwork.Clock, grace time.Duration, log zerolog.Logger, exit func()) {
 	clock.AfterFunc(grace-forcedExitMargin, func() {
 		log.Error().Dur("grace_ms", grace).Msg("stop takes too long, ending at once")
@@ -78,7 +80,7 @@
 	})
 }
 
-// logFlushTimeout bounds the time to write the last lines of the log.
+// logFlushTimeout is the maximum time for writing the last log lines.
 const logFlushTimeout = 200 * time.Millisecond
 
 func closeLog(queue *daemon.LogQueue) {
@@ -87,26 +89,26 @@
 	queue.Close(ctx)
 }
 
-// reloadSettings reads the settings again. Wrong ones change nothing.
+// reloadSettings loads the settings and applies them to the process. Settings with findings are logged and not applied.
 func reloadSettings(path string, process *direct.Process, log zerolog.Logger) {
 	changed, findings := settings.Load(path)
 	if len(findings) > 0 {
-		log.Error().Err(findings).Msg("changed settings not taken")
+		log.Error().Err(findings).Msg("settings are invalid; keeping the previous settings")
 		return
 	}
 	process.Reload(changed)
 }
 
 const (
-	// platformDialTimeout bounds connecting to a service of the platform.
+	// platformDialTimeout is the maximum time for connecting to a service of the platform.
 	platformDialTimeout = 500 * time.Millisecond
-	// platformIdleConns bounds the unused connections kept to one service.
+	// platformIdleConns is the maximum number of idle connections to one service.
 	platformIdleConns = 4
-	// platformIdleTimeout is how long they are kept.
+	// platformIdleTimeout is the time after which an idle connection is closed.
 	platformIdleTimeout = 10 * time.Second
 )
 
-// platformClient returns the client for the platform's services.
+// platformClient returns the HTTP client for the services of the platform.
 func platformClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: upstream.NewDialer(platformDialTimeout).DialContext, DisableCompression: true,
--- a/cmd/cinderslipd/direct_test.go
+++ b/cmd/cinderslipd/direct_test.go
@@ -9,18 +9,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process that was still stopping at the end of its grace was killed, and its log did not say
-// what had held it up.
+// Guards against a process that is killed at the end of its grace period while it is still stopping, and so loses the
+// log lines that show what delayed the stop.
 func TestSlowStopExitsBeforeGracePeriodEnds(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	ended := make(chan struct{})
-	exitBefore(clock, 8*time.Second, zerolog.Nop(), func() { close(ended) })
+	exited := make(chan struct{})
+	exitBefore(clock, 8*time.Second, zerolog.Nop(), func() { close(exited) })
 	clock.Advance(8*time.Second - forcedExitMargin - time.Millisecond)
 	select {
-	case <-ended:
-		require.Fail(t, "ended while it may still stop by itself")
+	case <-exited:
+		require.Fail(t, "exited while the planned stop may still finish")
 	default:
 	}
 	clock.Advance(time.Millisecond)
-	<-ended
+	<-exited
 }
--- a/cmd/cinderslipd/main.go
+++ b/cmd/cinderslipd/main.go
@@ -1,5 +1,5 @@
-// Command cinderslipd is the daemon: an entry box, an agent, or with --dev an
-// example of the whole on one machine.
+// Command cinderslipd is the daemon: an entry box or an agent, or with --dev a
+// complete example system on one machine.
 //
 // # Usage
 //
@@ -7,8 +7,8 @@
 //	cinderslipd --check --config entry.toml
 //	cinderslipd --dev
 //
-// It exits with 0 after a planned stop, 1 after a failure, 2 for wrong usage and
-// 3 if --check has findings.
+// The exit code is 0 after a planned stop, 1 after a failure, 2 for wrong usage and
+// 3 if the settings have findings, with or without --check.
 package main
 
 import (
@@ -18,7 +18,7 @@
 )
 
 func main() {
-	// Before anything else, as a hangup that comes before it is asked for ends the process.
+	// First, because a hangup signal that arrives before Notify ends the process.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr, reload))
--- a/cmd/cinderslipd/run.go
+++ b/cmd/cinderslipd/run.go
@@ -39,11 +39,12 @@
 	Version      bool   `long:"version" description:"print the version, then exit"`
 }
 
-// run runs the program. Reload gets a signal when the settings have changed, which a process in direct mode reads again.
+// run parses the arguments, runs the daemon until it is stopped and returns the exit code. In direct mode, each signal
+// from reload makes the daemon reload its settings; in the other modes SIGHUP keeps its default action.
 func run(args []string, stdout, stderr io.Writer, reload <-chan os.Signal) int {
-	var given arguments
+	var options arguments
 	parser := flags.NewNamedParser("cinderslipd", flags.HelpFlag|flags.PassDoubleDash)
-	if _, err := parser.AddGroup("Options", "", &given); err != nil {
+	if _, err := parser.AddGroup("Options", "", &options); err != nil {
 		_, _ = fmt.Fprintln(stderr, err)
 		return exitFailed
 	}
@@ -54,21 +55,21 @@
 		return exitDone
 	}
 	if err == nil {
-		err = given.check(rest)
+		err = options.check(rest)
 	}
 	if err != nil {
 		_, _ = fmt.Fprintln(stderr, "cinderslipd:", err)
 		return exitUsage
 	}
 	switch {
-	case given.Version:
+	case options.Version:
 		_, _ = fmt.Fprintln(stdout, "cinderslipd", buildinfo.String())
 		return exitDone
-	case given.Dev:
+	case options.Dev:
 		signal.Reset(syscall.SIGHUP)
-		return runDev(given, stdout, stderr)
+		return runDev(options, stdout, stderr)
 	}
-	return runRole(given, stdout, stderr, reload)
+	return runRole(options, stdout, stderr, reload)
 }
 
 func (a *arguments) check(rest []string) error {
@@ -79,36 +80,36 @@
 		return nil
 	}
 	if a.Dev == (a.Config != "") {
-		return errors.New("want either --dev or --config FILE; see --help")
+		return errors.New("expected either --dev or --config FILE; see --help")
 	}
 	if !a.Dev && (a.DevWeights != "" || a.DevListen != "" || a.DevOperators != "") {
-		return errors.New("--dev-weights, --dev-listen and --dev-operators go with --dev")
+		return errors.New("--dev-weights, --dev-listen and --dev-operators require --dev")
 	}
 	if a.Dev && a.Check {
-		return errors.New("--check goes with --config FILE")
+		return errors.New("--check requires --config FILE")
 	}
 	for _, address := range []string{a.DevListen, a.DevOperators} {
 		if parsed, err := netip.ParseAddrPort(address); address != "" && (err != nil || !parsed.Addr().IsLoopback()) {
-			return fmt.Errorf("want a loopback address such as 127.0.0.1:8080, got %q", address)
+			return fmt.Errorf("expected a loopback address, for example 127.0.0.1:8080, got %q", address)
 		}
 	}
 	return nil
 }
 
-func runRole(given arguments, stdout, stderr io.Writer, reload <-chan os.Signal) int {
-	loaded, findings := settings.Load(given.Config)
+func runRole(options arguments, stdout, stderr io.Writer, reload <-chan os.Signal) int {
+	loaded, findings := settings.Load(options.Config)
 	for _, finding := range findings {
 		_, _ = fmt.Fprintln(stderr, finding)
 	}
 	if len(findings) > 0 {
 		return exitFindings
 	}
-	if given.Check {
-		_, _ = fmt.Fprintf(stdout, "%s: no findings\n", given.Config)
+	if options.Check {
+		_, _ = fmt.Fprintf(stdout, "%s: no findings\n", options.Config)
 		return exitDone
 	}
 	if loaded.Mode == settings.ModeDirect {
-		return runDirect(given.Config, loaded, stdout, reload)
+		return runDirect(options.Config, loaded, stdout, reload)
 	}
 	signal.Reset(syscall.SIGHUP)
 	clock := boottime.NewClock()
@@ -123,25 +124,25 @@
 		Str("operators", process.OperatorsAddress()).Str("peers", process.PeersAddress()).Msg("started")
 	<-stop.Done()
 	if err := process.Stop(abortContext()); err != nil {
-		log.Error().Err(err).Msg("stop was not clean")
+		log.Error().Err(err).Msg("planned stop failed; exiting")
 		return exitFailed
 	}
 	log.Info().Msg("stopped")
 	return exitDone
 }
 
-func runDev(given arguments, stdout, stderr io.Writer) int {
+func runDev(options arguments, stdout, stderr io.Writer) int {
 	clock := boottime.NewClock()
-	log := daemon.NewLogger(stderr, given.LogLevel, clock)
+	log := daemon.NewLogger(stderr, options.LogLevel, clock)
 	stop := stopContext()
-	if given.DevWeights != "" {
-		if info, err := os.Stat(given.DevWeights); err != nil || !info.IsDir() {
-			_, _ = fmt.Fprintf(stderr, "cinderslipd: --dev-weights: want a directory, got %q\n", given.DevWeights)
+	if options.DevWeights != "" {
+		if info, err := os.Stat(options.DevWeights); err != nil || !info.IsDir() {
+			_, _ = fmt.Fprintf(stderr, "cinderslipd: --dev-weights: expected a directory, got %q\n", options.DevWeights)
 			return exitUsage
 		}
 	}
 	cluster, err := dev.Start(dev.Options{
-		Clock: clock, Log: log, WeightsDir: given.DevWeights, Callers: given.DevListen, Operators: given.DevOperators,
+		Clock: clock, Log: log, WeightsDir: options.DevWeights, Callers: options.DevListen, Operators: options.DevOperators,
 	})
 	if err != nil {
 		log.Error().Err(err).Msg("cannot start")
@@ -152,18 +153,17 @@
 	_, _ = fmt.Fprintln(stdout, cluster.Curl())
 	<-stop.Done()
 	if err := cluster.Stop(abortContext()); err != nil {
-		log.Error().Err(err).Msg("stop was not clean")
+		log.Error().Err(err).Msg("planned stop failed; exiting")
 		return exitFailed
 	}
 	return exitDone
 }
 
-// stopContext ends at the first interrupt or termination signal.
+// stopContext returns a context that is canceled at the next SIGINT or SIGTERM.
 func stopContext() context.Context {
 	ctx, _ := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	return ctx
 }
 
-// abortContext ends at the next signal, so that a second one cuts a planned stop
-// short.
+// abortContext returns the context of a planned stop. A second SIGINT or SIGTERM cancels it and so aborts the stop.
 func abortContext() context.Context { return stopContext() }
