--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,9 +1,9 @@
-// Package dev runs every role and the stand-ins of the platform in one process
-// on 127.0.0.1, for newcomers and for tests.
+// Package dev runs an example system in one process on 127.0.0.1: every role, and
+// stand-ins for the services of the platform.
 //
-// It publishes two versions of one model and one of another, writes an example
-// table, and starts two entry boxes and four agents with an engine each; the
-// last agent also has a plain service.
+// It publishes two versions of one model and one version of another, writes an
+// example table, and starts two entry boxes and four agents. Each agent has an
+// engine, and the last agent also has a plain service.
 //
 // # Usage
 //
@@ -34,7 +34,7 @@
 	"github.com/cinderslip/cinderslip/pkg/table"
 )
 
-// The example.
+// Names in the example table and the versions of its models.
 const (
 	Model        = "kakiwake"
 	OtherModel   = "sokuryo"
@@ -53,13 +53,15 @@
 	agentBoxes = 4
 	loopback   = "127.0.0.1:0"
 
+	// Sizes of weights and chunks, in bytes.
 	exampleSize      = 4 << 20
 	exampleChunkSize = 256 << 10
 	localChunkSize   = 4 << 20
-	// originBytesPerSecond and storeBytesPerSecond are in bytes per second.
+	// Transfer rates of the stand-ins for the origin and the weight store.
 	originBytesPerSecond = 64 << 20
 	storeBytesPerSecond  = 32 << 20
-	listLag              = 2 * time.Second
+	// listLag is the delay before a change shows in the stand-in for the box list.
+	listLag = 2 * time.Second
 
 	heartbeatInterval = 250 * time.Millisecond
 	silenceTimeout    = 1500 * time.Millisecond
@@ -68,22 +70,22 @@
 	tokenInterval     = 40 * time.Millisecond
 	tokens            = 24
 	slots             = 4
-	// readyTimeout is how long Start waits for the example to be live.
+	// readyTimeout is how long Start waits until the entry boxes are serving.
 	readyTimeout      = 4 * time.Second
 	readyPollInterval = 20 * time.Millisecond
 )
 
-// Options says how the example is started.
+// Options are the options of Start.
 type Options struct {
 	Clock clockwork.Clock
 	Log   zerolog.Logger
-	// WeightsDir is a directory to publish as a version of LocalModel; may be "".
+	// WeightsDir is a directory to publish as a version of LocalModel. Nothing is published if it is empty.
 	WeightsDir string
-	// Callers and Operators fix the first entry box's addresses; may be "".
+	// Callers and Operators are the listen addresses of the first entry box. Empty addresses select free ports.
 	Callers, Operators string
 }
 
-// Cluster is the running example.
+// Cluster is a running example system.
 type Cluster struct {
 	options  Options
 	servers  []*http.Server
@@ -96,8 +98,8 @@
 	boxList  *standin.BoxList
 }
 
-// Start starts the stand-ins and the roles and waits until the example table is
-// live, at most readyTimeout.
+// Start starts the stand-ins and the roles, and waits at most readyTimeout until every entry box is serving. It returns
+// the cluster without an error if this takes longer.
 func Start(options Options) (*Cluster, error) {
 	c := &Cluster{options: options}
 	if err := errors.Join(c.startPlatform(), c.writeTable()); err != nil {
@@ -111,12 +113,12 @@
 	return c, nil
 }
 
-// serve answers a handler on a loopback address and returns its base URL.
+// serve serves a handler on a free loopback port until Stop and returns its base URL.
 func (c *Cluster) serve(handler http.Handler) (string, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp", loopback)
 	if err != nil {
-		return "", fmt.Errorf("listening for a stand-in: %w", err)
+		return "", fmt.Errorf("listening for stand-in: %w", err)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
 	c.servers = append(c.servers, server)
@@ -138,8 +140,8 @@
 	return errors.Join(append(problems[:], c.publishExample())...)
 }
 
-// publishExample makes weights from a fixed seed. The second version of the
-// model shares half of its chunks with the first.
+// publishExample publishes weights of random bytes with fixed seeds to the origin and to the weight store. The two
+// versions of Model share half of their chunks.
 func (c *Cluster) publishExample() error {
 	common, first, second, other := randomContent(1), randomContent(2), randomContent(3), randomContent(4)
 	versions := []struct {
@@ -167,14 +169,14 @@
 }
 
 func weightFiles(contents ...[]byte) []standin.NamedFile {
-	var named []standin.NamedFile
+	var files []standin.NamedFile
 	for i, data := range contents {
-		named = append(named, standin.NamedFile{Name: fmt.Sprintf("model-%d.safetensors", i), Content: data})
+		files = append(files, standin.NamedFile{Name: fmt.Sprintf("model-%d.safetensors", i), Content: data})
 	}
-	return named
+	return files
 }
 
-// writeTable writes the example table as a first edit.
+// writeTable writes the example table as the first edit.
 func (c *Cluster) writeTable() error {
 	rows := []table.Row{
 		{Group: Group, Model: Model, Weight: 2, Floor: 0.25, Ceiling: 1, Version: versionOne},
@@ -184,32 +186,33 @@
 	return c.applyEdit(table.Edit{ID: "example", Author: "dev", Reason: "example table", Changes: table.Diff(nil, rows)})
 }
 
-// applyEdit writes an edit straight to the key-value service.
+// applyEdit applies an edit to the table in the key-value service, without an entry box, and retries if the table was
+// changed at the same time.
 func (c *Cluster) applyEdit(edit table.Edit) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	kv := provider.NewKeyValue(c.platform.KeyValue, http.DefaultClient)
 	for {
-		held, err := kv.Get(ctx, daemon.TableKey)
+		stored, err := kv.Get(ctx, daemon.TableKey)
 		if err != nil {
-			return fmt.Errorf("reading the table: %w", err)
+			return fmt.Errorf("reading table: %w", err)
 		}
 		current := &table.Table{}
-		if held.Revision != 0 {
-			if err := json.Unmarshal(held.Value, current); err != nil {
-				return fmt.Errorf("decoding the table: %w", err)
+		if stored.Revision != 0 {
+			if err := json.Unmarshal(stored.Value, current); err != nil {
+				return fmt.Errorf("decoding table: %w", err)
 			}
 		}
 		edit.Base = current.Revision
 		next, err := current.Apply(edit, c.options.Clock.Now())
 		if err != nil {
-			return fmt.Errorf("editing the table: %w", err)
+			return fmt.Errorf("editing table: %w", err)
 		}
 		var value bytes.Buffer
 		if err := json.NewEncoder(&value).Encode(next); err != nil {
-			return fmt.Errorf("encoding the table: %w", err)
+			return fmt.Errorf("encoding table: %w", err)
 		}
-		_, swapped, err := kv.CompareAndSwap(ctx, daemon.TableKey, value.Bytes(), held.Revision, 0)
+		_, swapped, err := kv.CompareAndSwap(ctx, daemon.TableKey, value.Bytes(), stored.Revision, 0)
 		if err != nil || swapped {
 			return err
 		}
@@ -230,7 +233,7 @@
 	return nil
 }
 
-// baseSettings returns settings with what every role of the example shares.
+// baseSettings returns the settings that all roles of the example have in common.
 func (c *Cluster) baseSettings(box, domain string) *settings.Settings {
 	s := &settings.Settings{Box: box, Organisation: "example", Region: "kita", FailureDomain: domain, Platform: c.platform}
 	s.Listen.Peers, s.Listen.Operators = loopback, loopback
@@ -304,7 +307,7 @@
 	return process, nil
 }
 
-// awaitLive waits until each entry box answers for every row of the table.
+// awaitLive waits until every entry box is serving, at most readyTimeout.
 func (c *Cluster) awaitLive() {
 	deadline := c.options.Clock.Now().Add(readyTimeout)
 	for _, entry := range c.entries {
@@ -314,25 +317,25 @@
 	}
 }
 
-// publishLocal publishes the real directory, then adds a row for it.
+// publishLocal publishes Options.WeightsDir as a version of LocalModel and adds a row for it to the table.
 func (c *Cluster) publishLocal() {
 	if c.options.WeightsDir == "" {
 		return
 	}
 	for _, registry := range []*standin.Registry{c.origin, c.store} {
 		if _, err := registry.PublishDir(LocalModel, localVersion, c.options.WeightsDir, localChunkSize); err != nil {
-			c.options.Log.Error().Err(err).Msg("directory cannot be published")
+			c.options.Log.Error().Err(err).Msg("publishing the weights directory failed; its model is not available")
 			return
 		}
 	}
 	row := table.Row{Group: Group, Model: LocalModel, Weight: 1, Ceiling: 1, Version: localVersion}
 	err := c.applyEdit(table.Edit{ID: "local", Author: "dev", Reason: "--dev-weights", Changes: table.Diff(nil, []table.Row{row})})
 	if err != nil {
-		c.options.Log.Error().Err(err).Msg("row for the directory cannot be added")
+		c.options.Log.Error().Err(err).Msg("adding a table row for the weights directory failed; its model is not served")
 	}
 }
 
-// Entries returns the callers' addresses of the entry boxes.
+// Entries returns the addresses of the entry boxes for callers.
 func (c *Cluster) Entries() []string {
 	addresses := make([]string, 0, len(c.entries))
 	for _, entry := range c.entries {
@@ -341,7 +344,7 @@
 	return addresses
 }
 
-// Operators returns the operators' addresses of the entry boxes.
+// Operators returns the addresses of the entry boxes for operators.
 func (c *Cluster) Operators() []string {
 	addresses := make([]string, 0, len(c.entries))
 	for _, entry := range c.entries {
@@ -350,14 +353,15 @@
 	return addresses
 }
 
-// Curl returns a command that streams an answer of the example.
+// Curl returns a curl command that sends a streaming request to the first entry box.
 func (c *Cluster) Curl() string {
 	return fmt.Sprintf("curl -sN -H 'Cinderslip-Group: %s' -H 'Content-Type: application/json' "+
 		`-d '{"model":"%s","stream":true,"messages":[{"role":"user","content":"Draft the boundary of parcel 12."}]}' `+
 		"http://%s/v1/services/%s/v1/chat/completions", Group, Model, c.Entries()[0], Model)
 }
 
-// Stop drains the entry boxes, then the agents, then ends the stand-ins.
+// Stop drains and stops the entry boxes, then the agents, and then closes the stand-ins. The error joins the errors of
+// all processes.
 func (c *Cluster) Stop(ctx context.Context) error {
 	problems := stopAll(ctx, c.entries)
 	problems = append(problems, stopAll(ctx, c.agents)...)
