--- a/cmd/cinderslipd/direct.go
+++ b/cmd/cinderslipd/direct.go
@@ -22,21 +22,22 @@
 	"github.com/cinderslip/cinderslip/platform"
 )
 
-// bytesPerMegabyte converts the memory limit.
+// bytesPerMegabyte converts the memory limit, which is set in megabytes, to bytes.
 const bytesPerMegabyte = 1e6
 
-// heapPart is the part of the memory limit that the Go runtime keeps to; the
-// rest is for the kernel's buffers and for stacks.
-const heapPart = 0.6
+// heapFraction is the fraction of the memory limit that is set as the Go runtime's memory limit. The rest is left for
+// kernel buffers and stacks.
+const heapFraction = 0.6
 
-// runDirect runs one role in direct mode until a signal, and reads its settings again at each of reload.
+// runDirect runs one role in direct mode until SIGINT or SIGTERM and returns the exit code. It reloads the settings at
+// path at each signal from reload.
 func runDirect(path string, loaded *settings.Settings, stdout io.Writer, reload <-chan os.Signal) int {
-	debug.SetMemoryLimit(int64(heapPart * bytesPerMegabyte * loaded.Direct.MemoryLimitMegabytes))
+	debug.SetMemoryLimit(int64(heapFraction * bytesPerMegabyte * loaded.Direct.MemoryLimitMegabytes))
 	clock := boottime.NewClock()
 	queue := daemon.NewLogQueue(stdout, clock)
 	defer closeLog(queue)
 	log := daemon.NewLogger(queue, loaded.Log.Level, clock)
-	stop := stopSignal()
+	stop := stopContext()
 	addresses := platform.Addresses{Store: member.Address(loaded.Direct.Store), Server: member.Address(loaded.Direct.Server)}
 	process, err := direct.Start(loaded, direct.Options{Clock: clock, Log: log, Platform: platform.New(addresses, platformClient()), LogQueue: queue})
 	if err != nil {
@@ -51,65 +52,66 @@
 			reloadSettings(path, process, log)
 		}
 	}
-	// At once, as a hangup between the end of one and the beginning of the other would end the process.
+	// Ignore replaces the registration of SIGHUP in one step. Removing the registration first would leave a moment in
+	// which a hangup ends the process.
 	signal.Ignore(syscall.SIGHUP)
 	exitBefore(clock, time.Duration(loaded.Stop.Grace), log, func() {
 		closeLog(queue)
 		os.Exit(exitFailed)
 	})
 	if err := process.Stop(context.Background()); err != nil {
-		log.Warn().Err(err).Msg("stop was not clean")
+		log.Warn().Err(err).Msg("planned stop failed; exiting")
 		return exitFailed
 	}
 	log.Info().Msg("stopped")
 	return exitDone
 }
 
-// exitReserve is how long before the end of its grace a process that is still stopping ends at
-// once: it would be killed then, and whatever holds it up would take its last lines with it.
-// Writing these takes up to logGrace.
-const exitReserve = 300 * time.Millisecond
+// forcedExitMargin is how long before the end of the grace period a process that is still stopping exits. It would be
+// killed at the end of the grace period and lose its last log lines; writing them takes up to logFlushTimeout.
+const forcedExitMargin = 300 * time.Millisecond
 
-// exitBefore ends a process whose planned stop takes longer than its grace allows.
+// exitBefore calls exit forcedExitMargin before the grace period ends. The process still runs then only if its planned
+// stop takes too long.
 func exitBefore(clock clockwork.Clock, grace time.Duration, log zerolog.Logger, exit func()) {
-	clock.AfterFunc(grace-exitReserve, func() {
+	clock.AfterFunc(grace-forcedExitMargin, func() {
 		log.Error().Dur("grace_ms", grace).Msg("stop takes too long, ending at once")
 		exit()
 	})
 }
 
-// logGrace bounds the time to write the last lines of the log.
-const logGrace = 200 * time.Millisecond
+// logFlushTimeout is the maximum time for writing the last log lines.
+const logFlushTimeout = 200 * time.Millisecond
 
 func closeLog(queue *daemon.LogQueue) {
-	ctx, cancel := context.WithTimeout(context.Background(), logGrace)
+	ctx, cancel := context.WithTimeout(context.Background(), logFlushTimeout)
 	defer cancel()
 	queue.Close(ctx)
 }
 
-// reloadSettings reads the settings again. Wrong ones change nothing.
+// reloadSettings loads the settings and applies them to the process. Settings with findings are logged and not applied.
 func reloadSettings(path string, process *direct.Process, log zerolog.Logger) {
 	changed, findings := settings.Load(path)
 	if len(findings) > 0 {
-		log.Error().Err(findings).Msg("changed settings not taken")
+		log.Error().Err(findings).Msg("settings are invalid; keeping the previous settings")
 		return
 	}
 	process.Reload(changed)
 }
 
 const (
-	// platformDial bounds connecting to a service of the platform.
-	platformDial = 500 * time.Millisecond
-	// platformConnections bounds the unused connections kept to one service.
-	platformConnections = 4
-	// platformIdle is how long they are kept.
-	platformIdle = 10 * time.Second
+	// platformDialTimeout is the maximum time for connecting to a service of the platform.
+	platformDialTimeout = 500 * time.Millisecond
+	// platformIdleConns is the maximum number of idle connections to one service.
+	platformIdleConns = 4
+	// platformIdleTimeout is the time after which an idle connection is closed.
+	platformIdleTimeout = 10 * time.Second
 )
 
-// platformClient returns the client for the platform's services.
+// platformClient returns the HTTP client for the services of the platform.
 func platformClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext: upstream.NewDialer(platformDial).DialContext, DisableCompression: true,
-		MaxIdleConnsPerHost: platformConnections, IdleConnTimeout: platformIdle,
+		DialContext: upstream.NewDialer(platformDialTimeout).DialContext, DisableCompression: true,
+		MaxIdleConnsPerHost: platformIdleConns, IdleConnTimeout: platformIdleTimeout,
 	}}
 }
