--- a/cmd/cinderslip/copies.go
+++ b/cmd/cinderslip/copies.go
@@ -62,7 +62,7 @@
 // printRollout prints a row for each agent with the seconds from publication to each step, and as a footer the minimum,
 // the median and the maximum over all agents.
 func printRollout(env *environment, rollout *report.Rollout) {
-	_, _ = fmt.Fprintf(env.stdout, "%s version %d, published %s\n", rollout.Model, rollout.Version, rollout.PublishedAt.UTC().Format(time.RFC3339Nano))
+	_, _ = fmt.Fprintf(env.stdout, "%s version %d, named %s\n", rollout.Model, rollout.Version, rollout.PublishedAt.UTC().Format(time.RFC3339Nano))
 	var steps []report.Step
 	columns := []any{"agent", "start"}
 	soonest, middle, latest := table.Row{"soonest", ""}, table.Row{"middle", ""}, table.Row{"latest", ""}
--- a/internal/report/explain.go
+++ b/internal/report/explain.go
@@ -135,19 +135,19 @@
 	case "unknown":
 		return "answered " + last.Get("status") + ", it may have run: " + x.describeAttempts()
 	case "cut":
-		return "response truncated: " + x.describeAttempts()
+		return "broken off in the middle of the answer: " + x.describeAttempts()
 	case "left":
-		return "its caller disconnected after " + last.Milliseconds("taken_ms").Round(time.Millisecond).String() + ": " + x.describeAttempts()
+		return "its caller left after " + last.Milliseconds("taken_ms").Round(time.Millisecond).String() + ": " + x.describeAttempts()
 	}
-	return "its last log line has no outcome; the process may have stopped before the request ended"
+	return "its last line tells of no outcome; the process may have ended before"
 }
 
 // refusalTexts explains the reasons for which requests are refused.
 var refusalTexts = map[string]string{
-	"busy":             "all slots were in use, and it could not have started in time",
+	"busy":             "all places were taken, and it could not have begun in time",
 	"no-server":        "no server could run it",
-	"leaving":          "the box was in a planned stop and could not have finished it",
-	"no-configuration": "the box had just started and had no configuration yet",
+	"leaving":          "the box was in a planned stop and could not have ended it",
+	"no-configuration": "the box had just started and knew no configuration",
 	"quarantined":      "servers that began to run it had ended, so it is sent to none",
 	"resting":          "all servers that could run it had asked the box for rest",
 	"limited":          "all servers that could run it have a rate limit, which is used up",
@@ -237,8 +237,8 @@
 func (x *Explanation) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "request %s: %s\n", x.Request, x.Cause)
-	writeEvents(&text, "events of the request", x.Events)
-	writeEvents(&text, "related events of its boxes", x.Context)
+	writeEvents(&text, "its own lines", x.Events)
+	writeEvents(&text, "what its boxes came to believe", x.Context)
 	return text.String()
 }
 
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -61,5 +61,5 @@
 			lines[line].Values = append(lines[line].Values, float64(n))
 		}
 	}
-	return Plot(w, "callers by second of arrival", "a second", seconds, lines)
+	return Plot(w, "callers by the second in which they came", "a second", seconds, lines)
 }
--- a/internal/report/rollout.go
+++ b/internal/report/rollout.go
@@ -204,5 +204,5 @@
 		}
 		lines = append(lines, line)
 	}
-	return Plot(w, r.Model+" version "+strconv.Itoa(r.Version)+", from its publication", "agents", seconds, lines)
+	return Plot(w, r.Model+" version "+strconv.Itoa(r.Version)+", from its name", "agents", seconds, lines)
 }
