--- a/internal/scenario/watch_test.go
+++ b/internal/scenario/await_test.go
@@ -26,10 +26,10 @@
 	return answer, json.NewDecoder(response.Body).Decode(&answer)
 }
 
-// awaitAll waits until a check holds at every entry box that runs.
-func (w *world) awaitAll(ts *testscript.TestScript, what string, check func(daemon.StatusResponse) string) {
+// awaitAllEntries waits until a check holds at every entry box that runs.
+func (d *testDeployment) awaitAllEntries(ts *testscript.TestScript, what string, check func(daemon.StatusResponse) string) {
 	await(ts, what, func() string {
-		entries := w.entries()
+		entries := d.entries()
 		if len(entries) == 0 {
 			return "no entry box runs"
 		}
@@ -48,11 +48,11 @@
 
 // await-live MODEL VERSION N waits until every entry box knows N boxes that are
 // up and have the version live.
-func awaitLive(w *world, ts *testscript.TestScript, args []string) {
+func awaitLive(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 3)
 	want, err := strconv.Atoi(args[2])
 	ts.Check(err)
-	w.awaitAll(ts, fmt.Sprint("await-live ", args), func(answer daemon.StatusResponse) string {
+	d.awaitAllEntries(ts, fmt.Sprint("await-live ", args), func(answer daemon.StatusResponse) string {
 		live := 0
 		for _, record := range answer.Boxes {
 			if record.IsLive(table.Model(args[0]), table.ModelVersion(args[1])) {
@@ -68,9 +68,9 @@
 
 // await-serving GROUP MODEL VERSION waits until every entry box answers the
 // group with the version.
-func awaitServing(w *world, ts *testscript.TestScript, args []string) {
+func awaitServing(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 3)
-	w.awaitAll(ts, fmt.Sprint("await-serving ", args), func(answer daemon.StatusResponse) string {
+	d.awaitAllEntries(ts, fmt.Sprint("await-serving ", args), func(answer daemon.StatusResponse) string {
 		for _, row := range answer.Rows {
 			if string(row.Group) == args[0] && string(row.Model) == args[1] {
 				if string(row.Plan.Serving) == args[2] {
@@ -85,9 +85,9 @@
 
 // await-status BOX STATUS waits until every entry box knows the status; the
 // status none means that the box is forgotten.
-func awaitStatus(w *world, ts *testscript.TestScript, args []string) {
+func awaitStatus(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 2)
-	w.awaitAll(ts, fmt.Sprint("await-status ", args), func(answer daemon.StatusResponse) string {
+	d.awaitAllEntries(ts, fmt.Sprint("await-status ", args), func(answer daemon.StatusResponse) string {
 		got := "none"
 		for _, record := range answer.Boxes {
 			if string(record.Box) == args[0] {
@@ -102,9 +102,9 @@
 }
 
 // await-fetch BOX waits until a box is in the middle of a fetch.
-func awaitFetch(w *world, ts *testscript.TestScript, args []string) {
+func awaitFetch(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 1)
-	w.awaitAll(ts, fmt.Sprint("await-fetch ", args), func(answer daemon.StatusResponse) string {
+	d.awaitAllEntries(ts, fmt.Sprint("await-fetch ", args), func(answer daemon.StatusResponse) string {
 		for _, record := range answer.Boxes {
 			for _, held := range record.Copies {
 				if string(record.Box) == args[0] && held.Phase == member.PhaseFetching && held.HeldChunks > 0 {
@@ -117,11 +117,11 @@
 }
 
 // await-table REVISION waits until the revision is in force everywhere.
-func awaitTable(w *world, ts *testscript.TestScript, args []string) {
+func awaitTable(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 1)
 	want, err := strconv.ParseUint(args[0], 10, 64)
 	ts.Check(err)
-	w.awaitAll(ts, fmt.Sprint("await-table ", args), func(answer daemon.StatusResponse) string {
+	d.awaitAllEntries(ts, fmt.Sprint("await-table ", args), func(answer daemon.StatusResponse) string {
 		if answer.Table < table.Revision(want) || answer.Plan.Table < table.Revision(want) {
 			return fmt.Sprintf("table %d, plan for table %d", answer.Table, answer.Plan.Table)
 		}
@@ -131,7 +131,7 @@
 
 // await-plan newer waits until a plan of a later epoch than that of the planner
 // last frozen is in force.
-func awaitPlan(w *world, ts *testscript.TestScript, args []string) {
+func awaitPlan(d *testDeployment, ts *testscript.TestScript, args []string) {
 	if len(args) != 1 || args[0] != "newer" {
 		ts.Fatalf("want newer")
 	}
@@ -139,7 +139,7 @@
 	ts.Check(err)
 	frozen := ts.Getenv("FROZEN")
 	await(ts, "await-plan newer", func() string {
-		for _, p := range w.entries() {
+		for _, p := range d.entries() {
 			if p.name == frozen {
 				continue
 			}
@@ -157,14 +157,14 @@
 
 // freeze-planner stops the entry box that holds the planner's lease from running
 // and sets FROZEN to its name and FROZEN_EPOCH to its epoch.
-func freezePlanner(w *world, ts *testscript.TestScript, args []string) {
-	answer, err := status(w.entries()[0])
+func freezePlanner(d *testDeployment, ts *testscript.TestScript, args []string) {
+	answer, err := status(d.entries()[0])
 	ts.Check(err)
 	name := string(answer.Plan.Planner)
 	ts.Setenv("FROZEN", name)
 	ts.Setenv("FROZEN_EPOCH", strconv.FormatUint(answer.Plan.Epoch, 10))
-	freeze(w, ts, append(args, name))
-	for _, p := range w.entries() {
+	freeze(d, ts, append(args, name))
+	for _, p := range d.entries() {
 		if p.name != name {
 			ts.Setenv("CINDERSLIP_SERVER", p.operators)
 		}
--- a/internal/scenario/callers_test.go
+++ b/internal/scenario/callers_test.go
@@ -22,32 +22,32 @@
 type result string
 
 const (
-	answered result = "answered"
-	notRun   result = "not-run"
-	unknown  result = "unknown"
-	cut      result = "cut"
-	wrong    result = "wrong"
-	// unreached means that no entry box took the connection.
-	unreached result = "unreached"
+	resultAnswered  result = "answered"
+	resultNotRun    result = "not-run"
+	resultUnknown   result = "unknown"
+	resultTruncated result = "cut"
+	resultInvalid   result = "wrong"
+	// resultUnreachable means that no entry box took the connection.
+	resultUnreachable result = "unreached"
 )
 
 // caller asks the system which entry box to use, keeps the answer for its time,
 // and checks that each answer is whole and its own.
 type caller struct {
-	world   *world
-	group   string
-	service string
+	deployment *testDeployment
+	group      string
+	service    string
 	// repeatable is the header's value; empty leaves it out.
 	repeatable string
 	tokens     int
-	http       *http.Client
+	client     *http.Client
 
-	entries []daemon.EntryAddress
-	until   time.Time
+	entries       []daemon.EntryAddress
+	entriesExpiry time.Time
 }
 
-func (w *world) newCaller(group, service string, given map[string]string) *caller {
-	c := &caller{world: w, group: group, service: service, repeatable: given["repeatable"], tokens: 10, http: &http.Client{Transport: &http.Transport{}}}
+func (d *testDeployment) newCaller(group, service string, given map[string]string) *caller {
+	c := &caller{deployment: d, group: group, service: service, repeatable: given["repeatable"], tokens: 10, client: &http.Client{Transport: &http.Transport{}}}
 	if given["tokens"] != "" {
 		c.tokens, _ = strconv.Atoi(given["tokens"])
 	}
@@ -57,14 +57,14 @@
 // address returns an entry box, asking anew when the kept answer has run out or
 // did not work.
 func (c *caller) address(ctx context.Context, anew bool) (string, error) {
-	if !anew && time.Now().Before(c.until) && len(c.entries) > 0 {
+	if !anew && time.Now().Before(c.entriesExpiry) && len(c.entries) > 0 {
 		return string(c.entries[0].Address), nil
 	}
 	known := []string{}
 	for _, entry := range c.entries {
 		known = append(known, string(entry.Address))
 	}
-	for _, p := range c.world.entries() {
+	for _, p := range c.deployment.entries() {
 		known = append(known, p.callers)
 	}
 	for _, address := range known {
@@ -72,7 +72,7 @@
 		if err != nil {
 			return "", err
 		}
-		response, err := c.http.Do(request)
+		response, err := c.client.Do(request)
 		if err != nil {
 			continue
 		}
@@ -80,7 +80,7 @@
 		err = json.NewDecoder(response.Body).Decode(&answer)
 		_ = response.Body.Close()
 		if err == nil && len(answer.Entries) > 0 {
-			c.entries, c.until = answer.Entries, time.Now().Add(time.Duration(answer.TTLSeconds)*time.Second)
+			c.entries, c.entriesExpiry = answer.Entries, time.Now().Add(time.Duration(answer.TTLSeconds)*time.Second)
 			return string(c.entries[0].Address), nil
 		}
 	}
@@ -103,14 +103,14 @@
 				c.entries = append(c.entries[1:], c.entries[0])
 				continue
 			}
-			return unknown, err.Error()
+			return resultUnknown, err.Error()
 		}
 		if first != nil {
 			close(first)
 		}
-		return c.judge(response, id)
+		return c.checkResponse(response, id)
 	}
-	return unreached, "no entry box takes the connection"
+	return resultUnreachable, "no entry box takes the connection"
 }
 
 func (c *caller) post(ctx context.Context, address, id string) (*http.Response, error) {
@@ -125,29 +125,29 @@
 	if c.repeatable != "" {
 		request.Header.Set("Cinderslip-Repeatable", c.repeatable)
 	}
-	return c.http.Do(request)
+	return c.client.Do(request)
 }
 
-// judge requires that the answer is whole, says the caller's own words and comes
+// checkResponse requires that the answer is whole, says the caller's own words and comes
 // from one version only.
-func (c *caller) judge(response *http.Response, id string) (result, string) {
+func (c *caller) checkResponse(response *http.Response, id string) (result, string) {
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
 	switch got := response.Header.Get("Cinderslip-Outcome"); {
 	case got != "":
 		return result(got), string(content)
 	case err != nil:
-		return cut, err.Error()
+		return resultTruncated, err.Error()
 	case response.StatusCode != http.StatusOK:
-		return wrong, fmt.Sprintf("status %d: %s", response.StatusCode, content)
+		return resultInvalid, fmt.Sprintf("status %d: %s", response.StatusCode, content)
 	case response.Header.Get("Cinderslip-Request-Id") != id:
-		return wrong, "another request's id"
+		return resultInvalid, "another request's id"
 	}
-	if c.world.plainServices[c.service] {
+	if c.deployment.plainServiceNames[c.service] {
 		if !strings.Contains(string(content), id) {
-			return wrong, string(content)
+			return resultInvalid, string(content)
 		}
-		return answered, string(content)
+		return resultAnswered, string(content)
 	}
 	version := response.Header.Get("Cinderslip-Version")
 	prints := make(map[string]bool)
@@ -166,26 +166,26 @@
 			} `json:"choices"`
 		}
 		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
-			return wrong, err.Error()
+			return resultInvalid, err.Error()
 		}
 		prints[chunk.Fingerprint] = true
 		words += chunk.Choices[0].Delta.Content
 	}
 	switch {
 	case !strings.HasSuffix(string(content), "data: [DONE]\n\n"), len(strings.Fields(words)) != c.tokens:
-		return wrong, "the answer is not whole: " + words
+		return resultInvalid, "the answer is not whole: " + words
 	case !strings.HasPrefix(words, fmt.Sprintf("%s %s answers: %s ", c.service, version, id)):
-		return wrong, fmt.Sprintf("version %s, answer %q, want id %s", version, words, id)
+		return resultInvalid, fmt.Sprintf("version %s, answer %q, want id %s", version, words, id)
 	case len(prints) != 1:
-		return wrong, "the answer mixes versions"
+		return resultInvalid, "the answer mixes versions"
 	}
-	return answered, version
+	return resultAnswered, version
 }
 
-// loop is a number of callers that send one request after the other.
-type loop struct {
+// callerLoop is a number of callers that send one request after the other.
+type callerLoop struct {
 	cancel context.CancelFunc
-	wait   sync.WaitGroup
+	wg     sync.WaitGroup
 
 	mu      sync.Mutex
 	counts  map[result]int
@@ -196,41 +196,41 @@
 // loop; callers NAME stop RESULT… ends it and requires that every request came
 // to one of the results, and some were answered; callers NAME await N waits for N
 // answers more.
-func callers(w *world, ts *testscript.TestScript, args []string) {
+func callers(d *testDeployment, ts *testscript.TestScript, args []string) {
 	if len(args) < 2 {
 		ts.Fatalf("want callers NAME start|stop|await …")
 	}
 	switch args[1] {
 	case "start":
-		w.startLoop(ts, args[0], args[2:])
+		d.startLoop(ts, args[0], args[2:])
 	case "stop":
-		w.stopLoop(ts, args[0], args[2:])
+		d.stopLoop(ts, args[0], args[2:])
 	case "await":
-		w.awaitLoop(ts, args[0], args[2:])
+		d.awaitLoop(ts, args[0], args[2:])
 	default:
 		ts.Fatalf("callers: unexpected %q", args[1])
 	}
 }
 
-func (w *world) startLoop(ts *testscript.TestScript, name string, args []string) {
+func (d *testDeployment) startLoop(ts *testscript.TestScript, name string, args []string) {
 	given := options(ts, args, 2, "workers", "repeatable", "tokens")
 	workers := 4
 	if given["workers"] != "" {
 		workers, _ = strconv.Atoi(given["workers"])
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &loop{cancel: cancel, counts: make(map[result]int)}
-	w.loops[name] = l
+	l := &callerLoop{cancel: cancel, counts: make(map[result]int)}
+	d.loops[name] = l
 	for worker := range workers {
-		c := w.newCaller(args[0], args[1], given)
-		l.wait.Go(func() {
+		c := d.newCaller(args[0], args[1], given)
+		l.wg.Go(func() {
 			for number := 0; ctx.Err() == nil; number++ {
 				id := fmt.Sprintf("%s-%d-%d", name, worker, number)
 				// A request that has begun is let end, so that its result counts.
 				got, detail := c.send(context.WithoutCancel(ctx), id, nil)
 				l.mu.Lock()
 				l.counts[got]++
-				if got != answered {
+				if got != resultAnswered {
 					l.details = append(l.details, fmt.Sprintf("%s %s: %s", id, got, detail))
 				}
 				l.mu.Unlock()
@@ -240,15 +240,15 @@
 	}
 }
 
-func (w *world) awaitLoop(ts *testscript.TestScript, name string, args []string) {
+func (d *testDeployment) awaitLoop(ts *testscript.TestScript, name string, args []string) {
 	options(ts, args, 1)
 	more, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	l := w.loops[name]
+	l := d.loops[name]
 	count := func() int {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.counts[answered]
+		return l.counts[resultAnswered]
 	}
 	until := count() + more
 	await(ts, "callers await", func() string {
@@ -259,88 +259,88 @@
 	})
 }
 
-func (w *world) stopLoop(ts *testscript.TestScript, name string, allowed []string) {
-	l := w.loops[name]
+func (d *testDeployment) stopLoop(ts *testscript.TestScript, name string, allowed []string) {
+	l := d.loops[name]
 	l.cancel()
-	l.wait.Wait()
+	l.wg.Wait()
 	ts.Logf("callers %s: %v", name, l.counts)
-	good := map[result]bool{answered: true}
+	good := map[result]bool{resultAnswered: true}
 	for _, word := range allowed {
 		good[result(word)] = true
 	}
 	for got := range l.counts {
 		if !good[got] {
-			w.dumpLogs(ts)
+			d.dumpLogs(ts)
 			ts.Fatalf("callers %s: %v\n%s", name, l.counts, strings.Join(l.details, "\n"))
 		}
 	}
-	if l.counts[answered] == 0 {
+	if l.counts[resultAnswered] == 0 {
 		ts.Fatalf("callers %s: no request was answered: %v", name, l.counts)
 	}
 }
 
-// single is one request in the background.
-type single struct {
-	caller *caller
-	first  chan struct{}
-	done   chan struct{}
-	got    result
-	detail string
+// backgroundRequest is one request in the background.
+type backgroundRequest struct {
+	caller  *caller
+	started chan struct{}
+	done    chan struct{}
+	result  result
+	detail  string
 }
 
 // request NAME GROUP SERVICE [repeatable=B] [tokens=N] [id=ID] starts one request.
-func request(w *world, ts *testscript.TestScript, args []string) {
+func request(d *testDeployment, ts *testscript.TestScript, args []string) {
 	given := options(ts, args, 3, "repeatable", "tokens", "id")
 	id := args[0]
 	if given["id"] != "" {
 		id = given["id"]
 	}
-	s := &single{first: make(chan struct{}), done: make(chan struct{})}
-	c := w.newCaller(args[1], args[2], given)
+	s := &backgroundRequest{started: make(chan struct{}), done: make(chan struct{})}
+	c := d.newCaller(args[1], args[2], given)
 	s.caller = c
-	w.singles[args[0]] = s
+	d.requests[args[0]] = s
 	go func() {
 		defer close(s.done)
-		ctx, cancel := w.context()
+		ctx, cancel := d.context()
 		defer cancel()
-		s.got, s.detail = c.send(ctx, id, s.first)
+		s.result, s.detail = c.send(ctx, id, s.started)
 	}()
 }
 
 // await-first NAME waits until the answer of a request has begun.
-func awaitFirst(w *world, ts *testscript.TestScript, args []string) {
+func awaitResponseStart(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 1)
 	select {
-	case <-w.singles[args[0]].first:
+	case <-d.requests[args[0]].started:
 	case <-time.After(waitLimit):
 		ts.Fatalf("the answer of %s does not begin", args[0])
 	}
 }
 
 // outcome NAME RESULT… waits for the end of a request and requires its result.
-func outcome(w *world, ts *testscript.TestScript, args []string) {
+func outcome(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args[:min(2, len(args))], 2)
-	s := w.singles[args[0]]
+	s := d.requests[args[0]]
 	<-s.done
 	for _, want := range args[1:] {
-		if s.got == result(want) {
+		if s.result == result(want) {
 			return
 		}
 	}
-	w.dumpLogs(ts)
-	ts.Fatalf("request %s came to %s, want %v: %s", args[0], s.got, args[1:], s.detail)
+	d.dumpLogs(ts)
+	ts.Fatalf("request %s came to %s, want %v: %s", args[0], s.result, args[1:], s.detail)
 }
 
 // ran at-most-once requires that no request id began twice on any backend
 // server; ran ID N requires that it began N times on all of them together.
-func ran(w *world, ts *testscript.TestScript, args []string) {
+func ran(d *testDeployment, ts *testscript.TestScript, args []string) {
 	counts := make(map[string]int)
-	for _, engine := range w.engines {
+	for _, engine := range d.engines {
 		for id, count := range engine.Runs() {
 			counts[id] += count
 		}
 	}
-	for _, plain := range w.plains {
+	for _, plain := range d.plainBackends {
 		for id, count := range plain.Runs() {
 			counts[id] += count
 		}
@@ -360,11 +360,11 @@
 }
 
 // kill9-runner ID ends the agent at once whose backend server ran a request id.
-func killRunner(w *world, ts *testscript.TestScript, args []string) {
+func killRunner(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 1)
-	for name, plain := range w.plains {
+	for name, plain := range d.plainBackends {
 		if plain.Runs()[args[0]] > 0 {
-			kill(w, ts, []string{name})
+			kill(d, ts, []string{name})
 			return
 		}
 	}
@@ -372,12 +372,12 @@
 }
 
 // kill9-entry-of NAME ends the entry box at once through which a request went.
-func killEntryOf(w *world, ts *testscript.TestScript, args []string) {
+func killEntryOf(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 1)
-	used := string(w.singles[args[0]].caller.entries[0].Address)
-	for _, p := range w.entries() {
+	used := string(d.requests[args[0]].caller.entries[0].Address)
+	for _, p := range d.entries() {
 		if p.callers == used {
-			kill(w, ts, []string{p.name})
+			kill(d, ts, []string{p.name})
 			return
 		}
 	}
@@ -386,9 +386,9 @@
 
 // refused-path PATH… requires that the callers' side does not answer a path of
 // the operators' side.
-func refusedPath(w *world, ts *testscript.TestScript, args []string) {
+func refusedPath(d *testDeployment, ts *testscript.TestScript, args []string) {
 	for _, path := range args {
-		response, err := statusClient.Get("http://" + w.entries()[0].callers + path)
+		response, err := statusClient.Get("http://" + d.entries()[0].callers + path)
 		ts.Check(err)
 		_ = response.Body.Close()
 		if response.StatusCode != http.StatusNotFound {
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/deployment_test.go
@@ -25,53 +25,53 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// world is the platform and the processes of one scenario.
-type world struct {
+// testDeployment is the platform and the processes of one scenario.
+type testDeployment struct {
 	env *testscript.Env
 	dir string
-	// listenAt is where processes listen, at any port. A process that was killed starts again at
+	// listenAddress is where processes listen, at any port. A process that was killed starts again at
 	// its port, which must not become that of a connection meanwhile: those begin at 127.0.0.1.
-	listenAt string
-	clock    clockwork.Clock
-	kv       *standin.KeyValue
-	origin   *standin.Registry
-	store    *standin.Registry
-	list     *standin.BoxList
-	urls     map[string]string
-	servers  []*http.Server
-
-	processes map[string]*process
-	order     []string
-	engines   map[string]*standin.Engine
-	plains    map[string]*standin.PlainService
-	// plainServices holds the names of the plain services.
-	plainServices map[string]bool
-
-	loops   map[string]*loop
-	singles map[string]*single
+	listenAddress string
+	clock         clockwork.Clock
+	kv            *standin.KeyValue
+	origin        *standin.Registry
+	weightStore   *standin.Registry
+	boxList       *standin.BoxList
+	urls          map[string]string
+	servers       []*http.Server
+
+	processes     map[string]*process
+	startOrder    []string
+	engines       map[string]*standin.Engine
+	plainBackends map[string]*standin.PlainService
+	// plainServiceNames holds the names of the plain services.
+	plainServiceNames map[string]bool
+
+	loops    map[string]*callerLoop
+	requests map[string]*backgroundRequest
 }
 
 // originRate is the stand-ins' rate in bytes per second until a scenario
 // changes it.
 const originRate = 8 << 20
 
-// worlds counts the worlds of this process, so that each has an address of its own.
-var worlds atomic.Int32
+// deploymentCount counts the worlds of this process, so that each has an address of its own.
+var deploymentCount atomic.Int32
 
-func newWorld(env *testscript.Env) (*world, error) {
+func newTestDeployment(env *testscript.Env) (*testDeployment, error) {
 	clock := clockwork.NewRealClock()
-	w := &world{
+	w := &testDeployment{
 		env: env, dir: env.WorkDir, clock: clock,
-		listenAt: fmt.Sprintf("127.%d.%d.9:0", 20+os.Getpid()%200, 200+worlds.Add(1)%50),
-		kv:       standin.NewKeyValue(clock), origin: standin.NewRegistry(clock, originRate),
-		store: standin.NewRegistry(clock, originRate), list: standin.NewBoxList(clock, time.Second),
+		listenAddress: fmt.Sprintf("127.%d.%d.9:0", 20+os.Getpid()%200, 200+deploymentCount.Add(1)%50),
+		kv:            standin.NewKeyValue(clock), origin: standin.NewRegistry(clock, originRate),
+		weightStore: standin.NewRegistry(clock, originRate), boxList: standin.NewBoxList(clock, time.Second),
 		urls: make(map[string]string), processes: make(map[string]*process),
-		engines: make(map[string]*standin.Engine), plains: make(map[string]*standin.PlainService),
-		plainServices: make(map[string]bool),
-		loops:         make(map[string]*loop), singles: make(map[string]*single),
+		engines: make(map[string]*standin.Engine), plainBackends: make(map[string]*standin.PlainService),
+		plainServiceNames: make(map[string]bool),
+		loops:             make(map[string]*callerLoop), requests: make(map[string]*backgroundRequest),
 	}
 	for name, handler := range map[string]http.Handler{
-		"key_value": w.kv, "origin": w.origin, "weight_store": w.store, "box_list": w.list,
+		"key_value": w.kv, "origin": w.origin, "weight_store": w.weightStore, "box_list": w.boxList,
 	} {
 		url, err := w.serve(handler)
 		if err != nil {
@@ -82,37 +82,37 @@
 	return w, nil
 }
 
-func (w *world) serve(handler http.Handler) (string, error) {
+func (d *testDeployment) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	server := &http.Server{Handler: handler}
-	w.servers = append(w.servers, server)
+	d.servers = append(d.servers, server)
 	go func() { _ = server.Serve(listener) }()
 	return "http://" + listener.Addr().String(), nil
 }
 
-func (w *world) close() {
-	for _, l := range w.loops {
+func (d *testDeployment) close() {
+	for _, l := range d.loops {
 		l.cancel()
 	}
-	for _, p := range w.processes {
+	for _, p := range d.processes {
 		p.signal(syscall.SIGKILL)
-		<-p.ended
+		<-p.exited
 	}
-	for _, server := range w.servers {
+	for _, server := range d.servers {
 		_ = server.Close()
 	}
 }
 
 // process is a cinderslipd of its own.
 type process struct {
-	name   string
-	config string
-	cmd    *exec.Cmd
-	ended  chan struct{}
-	code   int
+	name     string
+	config   string
+	cmd      *exec.Cmd
+	exited   chan struct{}
+	exitCode int
 
 	mu        sync.Mutex
 	log       []string
@@ -129,18 +129,18 @@
 }
 
 // start runs the program and waits until it tells its addresses.
-func (w *world) start(ts *testscript.TestScript, name, config string) {
-	p := &process{name: name, config: config, ended: make(chan struct{}), started: make(chan struct{})}
+func (d *testDeployment) start(ts *testscript.TestScript, name, config string) {
+	p := &process{name: name, config: config, exited: make(chan struct{}), started: make(chan struct{})}
 	p.cmd = exec.Command("cinderslipd", "--config", config)
 	stderr, err := p.cmd.StderrPipe()
 	ts.Check(err)
 	ts.Check(p.cmd.Start())
 	go p.follow(bufio.NewScanner(stderr))
-	w.processes[name] = p
+	d.processes[name] = p
 	select {
 	case <-p.started:
-	case <-p.ended:
-		w.dumpLogs(ts)
+	case <-p.exited:
+		d.dumpLogs(ts)
 		ts.Fatalf("%s ended at its start", name)
 	}
 }
@@ -157,8 +157,8 @@
 		p.mu.Unlock()
 	}
 	_ = p.cmd.Wait()
-	p.code = p.cmd.ProcessState.ExitCode()
-	close(p.ended)
+	p.exitCode = p.cmd.ProcessState.ExitCode()
+	close(p.exited)
 }
 
 // field reads a value of a log line.
@@ -168,29 +168,29 @@
 	return strings.Trim(value, `"`)
 }
 
-func (w *world) dumpLogs(ts *testscript.TestScript) {
-	for _, name := range w.order {
-		p := w.processes[name]
+func (d *testDeployment) dumpLogs(ts *testscript.TestScript) {
+	for _, name := range d.startOrder {
+		p := d.processes[name]
 		p.mu.Lock()
 		ts.Logf("--- log of %s\n%s", name, strings.Join(p.log, "\n"))
 		p.mu.Unlock()
 	}
 }
 
-func (w *world) process(ts *testscript.TestScript, args []string) *process {
-	if len(args) != 1 || w.processes[args[0]] == nil {
+func (d *testDeployment) process(ts *testscript.TestScript, args []string) *process {
+	if len(args) != 1 || d.processes[args[0]] == nil {
 		ts.Fatalf("want the name of a process, got %v", args)
 	}
-	return w.processes[args[0]]
+	return d.processes[args[0]]
 }
 
 // entries are the entry boxes' processes that run, in the order of their start.
-func (w *world) entries() []*process {
+func (d *testDeployment) entries() []*process {
 	var out []*process
-	for _, name := range w.order {
-		p := w.processes[name]
+	for _, name := range d.startOrder {
+		p := d.processes[name]
 		select {
-		case <-p.ended:
+		case <-p.exited:
 		default:
 			if p.callers != "" {
 				out = append(out, p)
@@ -202,7 +202,7 @@
 
 // publish MODEL VERSION BYTES [chunk=BYTES] publishes weights at the origin, and
 // at the weight store too unless the scenario has taken it down.
-func publish(w *world, ts *testscript.TestScript, args []string) {
+func publish(d *testDeployment, ts *testscript.TestScript, args []string) {
 	given := options(ts, args, 3, "chunk")
 	size, err := strconv.Atoi(args[2])
 	ts.Check(err)
@@ -215,7 +215,7 @@
 	copy(seed[:], args[0]+args[1])
 	data := make([]byte, size)
 	_, _ = rand.NewChaCha8(seed).Read(data)
-	for _, registry := range []*standin.Registry{w.origin, w.store} {
+	for _, registry := range []*standin.Registry{d.origin, d.weightStore} {
 		_, err := registry.Publish(args[0], args[1], []standin.NamedFile{{Name: "weights", Content: data}}, chunk)
 		ts.Check(err)
 	}
@@ -223,8 +223,8 @@
 
 // origin slow BYTES-PER-SECOND | down | up changes the weight store and the
 // origin together; origin sent-at-most BYTES checks what both have sent.
-func origin(w *world, ts *testscript.TestScript, args []string) {
-	registries := []*standin.Registry{w.origin, w.store}
+func origin(d *testDeployment, ts *testscript.TestScript, args []string) {
+	registries := []*standin.Registry{d.origin, d.weightStore}
 	switch {
 	case len(args) == 2 && args[0] == "slow":
 		rate, err := strconv.Atoi(args[1])
@@ -243,7 +243,7 @@
 	case len(args) == 2 && args[0] == "sent-at-most":
 		limit, err := strconv.ParseInt(args[1], 10, 64)
 		ts.Check(err)
-		if sent := w.origin.BytesSent() + w.store.BytesSent(); sent > limit {
+		if sent := d.origin.BytesSent() + d.weightStore.BytesSent(); sent > limit {
 			ts.Fatalf("origin and weight store sent %d bytes, want at most %d", sent, limit)
 		}
 	default:
@@ -253,21 +253,21 @@
 
 // kv down | up | slow TIME | lose-answers N loses the answers of the next N
 // writes, after they took effect.
-func keyValue(w *world, ts *testscript.TestScript, args []string) {
+func keyValue(d *testDeployment, ts *testscript.TestScript, args []string) {
 	switch {
 	case len(args) == 1 && args[0] == "down":
-		w.kv.SetFault(func(string) standin.Fault { return standin.Fault{Status: http.StatusServiceUnavailable} })
+		d.kv.SetFault(func(string) standin.Fault { return standin.Fault{Status: http.StatusServiceUnavailable} })
 	case len(args) == 1 && args[0] == "up":
-		w.kv.SetFault(nil)
+		d.kv.SetFault(nil)
 	case len(args) == 2 && args[0] == "slow":
 		delay, err := time.ParseDuration(args[1])
 		ts.Check(err)
-		w.kv.SetFault(func(string) standin.Fault { return standin.Fault{Delay: delay} })
+		d.kv.SetFault(func(string) standin.Fault { return standin.Fault{Delay: delay} })
 	case len(args) == 2 && args[0] == "lose-answers":
 		left, err := strconv.Atoi(args[1])
 		ts.Check(err)
 		var mu sync.Mutex
-		w.kv.SetFault(func(path string) standin.Fault {
+		d.kv.SetFault(func(path string) standin.Fault {
 			mu.Lock()
 			defer mu.Unlock()
 			if path != "/v3/kv/txn" || left == 0 {
@@ -282,38 +282,38 @@
 }
 
 // list leaving BOX | gone BOX changes what the platform's box list says.
-func list(w *world, ts *testscript.TestScript, args []string) {
+func list(d *testDeployment, ts *testscript.TestScript, args []string) {
 	if len(args) != 2 {
 		ts.Fatalf("list: want leaving BOX or gone BOX")
 	}
 	switch args[0] {
 	case "leaving":
-		w.listBox(args[1], provider.ListedLeaving)
+		d.listBox(args[1], provider.ListedLeaving)
 	case "gone":
-		w.list.Remove(args[1])
+		d.boxList.Remove(args[1])
 	default:
 		ts.Fatalf("list: unexpected %v", args)
 	}
 }
 
-func (w *world) listBox(name string, state provider.ListedState) {
-	p := w.processes[name]
+func (d *testDeployment) listBox(name string, state provider.ListedState) {
+	p := d.processes[name]
 	role := member.RoleAgent
 	if p.callers != "" {
 		role = member.RoleEntry
 	}
-	w.list.Set(provider.ListedBox{
+	d.boxList.Set(provider.ListedBox{
 		Box: member.BoxID(name), Role: role, Region: "kita", FailureDomain: "kita-a",
 		PeerAddress: member.Address(p.peers), State: state,
 	})
 }
 
-func (w *world) common(role, name, domain, region string) string {
+func (d *testDeployment) commonSettings(role, name, domain, region string) string {
 	if region == "" {
 		region = "kita"
 	}
 	var entries []string
-	for _, p := range w.entries() {
+	for _, p := range d.entries() {
 		entries = append(entries, strconv.Quote(p.peers))
 	}
 	return fmt.Sprintf(`role = %q
@@ -344,39 +344,39 @@
 [listen]
 operators = %[10]q
 peers = %[10]q
-`, role, name, region, domain, w.urls["key_value"], w.urls["box_list"], w.urls["weight_store"], w.urls["origin"],
-		strings.Join(entries, ", "), w.listenAt)
+`, role, name, region, domain, d.urls["key_value"], d.urls["box_list"], d.urls["weight_store"], d.urls["origin"],
+		strings.Join(entries, ", "), d.listenAddress)
 }
 
-func (w *world) launch(ts *testscript.TestScript, name, config string) {
-	file := filepath.Join(w.dir, name+".toml")
+func (d *testDeployment) launch(ts *testscript.TestScript, name, config string) {
+	file := filepath.Join(d.dir, name+".toml")
 	ts.Check(os.WriteFile(file, []byte(config), 0o600))
-	w.start(ts, name, file)
-	w.order = append(w.order, name)
-	w.listBox(name, provider.ListedLive)
-	if running := w.entries(); len(running) > 0 {
+	d.start(ts, name, file)
+	d.startOrder = append(d.startOrder, name)
+	d.listBox(name, provider.ListedLive)
+	if running := d.entries(); len(running) > 0 {
 		ts.Setenv("CINDERSLIP_SERVER", running[0].operators)
 	}
 }
 
 // entry NAME DOMAIN [region=R] [places=N] [queue=N] starts an entry box.
-func entry(w *world, ts *testscript.TestScript, args []string) {
+func entry(d *testDeployment, ts *testscript.TestScript, args []string) {
 	given := options(ts, args, 2, "region", "places", "queue")
-	config := w.common("entry", args[0], args[1], given["region"]) + fmt.Sprintf("callers = %q\n", w.listenAt) + "\n[requests]\nentries_ttl = \"1s\"\n"
+	config := d.commonSettings("entry", args[0], args[1], given["region"]) + fmt.Sprintf("callers = %q\n", d.listenAddress) + "\n[requests]\nentries_ttl = \"1s\"\n"
 	if given["places"] != "" {
 		config += "places_per_replica = " + given["places"] + "\n"
 	}
 	if given["queue"] != "" {
 		config += "queue_per_group = " + given["queue"] + "\n"
 	}
-	w.launch(ts, args[0], config)
+	d.launch(ts, args[0], config)
 }
 
 // agent NAME DOMAIN [models=A,B] [slots=N] [plain=S] [token-time=T] [region=R]
 // starts an agent with an engine, a plain service, or both. They outlive it.
-func agent(w *world, ts *testscript.TestScript, args []string) {
+func agent(d *testDeployment, ts *testscript.TestScript, args []string) {
 	given := options(ts, args, 2, "models", "slots", "plain", "token-time", "region")
-	config := w.common("agent", args[0], args[1], given["region"])
+	config := d.commonSettings("agent", args[0], args[1], given["region"])
 	if given["models"] != "" {
 		engine := standin.EngineOptions{Slots: 2, LoadTime: 20 * time.Millisecond, TokenInterval: 2 * time.Millisecond, Tokens: 10}
 		if given["slots"] != "" {
@@ -389,79 +389,79 @@
 			ts.Check(err)
 			engine.TokenInterval = duration
 		}
-		w.engines[args[0]] = standin.NewEngine(w.clock, engine)
-		url, err := w.serve(w.engines[args[0]])
+		d.engines[args[0]] = standin.NewEngine(d.clock, engine)
+		url, err := d.serve(d.engines[args[0]])
 		ts.Check(err)
 		config += fmt.Sprintf("\n[agent.engine]\nurl = %q\nslots = %d\nmodels = [\"%s\"]\n", url, engine.Slots,
 			strings.ReplaceAll(given["models"], ",", `", "`))
 	}
 	if given["plain"] != "" {
-		w.plainServices[given["plain"]] = true
-		w.plains[args[0]] = standin.NewPlainService(w.clock)
-		url, err := w.serve(w.plains[args[0]])
+		d.plainServiceNames[given["plain"]] = true
+		d.plainBackends[args[0]] = standin.NewPlainService(d.clock)
+		url, err := d.serve(d.plainBackends[args[0]])
 		ts.Check(err)
 		config += fmt.Sprintf("\n[[agent.services]]\nname = %q\nurl = %q\n", given["plain"], url)
 	}
-	w.launch(ts, args[0], config)
+	d.launch(ts, args[0], config)
 }
 
 // kill9 NAME ends a process at once.
-func kill(w *world, ts *testscript.TestScript, args []string) {
-	p := w.process(ts, args)
+func kill(d *testDeployment, ts *testscript.TestScript, args []string) {
+	p := d.process(ts, args)
 	p.signal(syscall.SIGKILL)
-	<-p.ended
-	w.aim(ts)
+	<-p.exited
+	d.useRunningEntry(ts)
 }
 
-// aim points the command line at an entry box that runs.
-func (w *world) aim(ts *testscript.TestScript) {
-	if running := w.entries(); len(running) > 0 {
+// useRunningEntry points the command line at an entry box that runs.
+func (d *testDeployment) useRunningEntry(ts *testscript.TestScript) {
+	if running := d.entries(); len(running) > 0 {
 		ts.Setenv("CINDERSLIP_SERVER", running[0].operators)
 	}
 }
 
 // freeze NAME stops a process from running, thaw NAME lets it go on.
-func freeze(w *world, ts *testscript.TestScript, args []string) {
-	w.process(ts, args).signal(syscall.SIGSTOP)
+func freeze(d *testDeployment, ts *testscript.TestScript, args []string) {
+	d.process(ts, args).signal(syscall.SIGSTOP)
 }
 
-func thaw(w *world, ts *testscript.TestScript, args []string) {
-	w.process(ts, args).signal(syscall.SIGCONT)
+func thaw(d *testDeployment, ts *testscript.TestScript, args []string) {
+	d.process(ts, args).signal(syscall.SIGCONT)
 }
 
 // terminate NAME is a planned stop, which must end with exit code 0.
-func terminate(w *world, ts *testscript.TestScript, args []string) {
-	p := w.process(ts, args)
+func terminate(d *testDeployment, ts *testscript.TestScript, args []string) {
+	p := d.process(ts, args)
 	p.signal(syscall.SIGTERM)
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-time.After(waitLimit):
-		w.dumpLogs(ts)
+		d.dumpLogs(ts)
 		ts.Fatalf("%s does not end", p.name)
 	}
-	if p.code != 0 {
-		w.dumpLogs(ts)
-		ts.Fatalf("%s ended with exit code %d", p.name, p.code)
+	if p.exitCode != 0 {
+		d.dumpLogs(ts)
+		ts.Fatalf("%s ended with exit code %d", p.name, p.exitCode)
 	}
-	w.aim(ts)
+	d.useRunningEntry(ts)
 }
 
 // restart NAME starts a process that has ended with the same settings, at the
 // addresses that it had.
-func restart(w *world, ts *testscript.TestScript, args []string) {
-	p := w.process(ts, args)
-	<-p.ended
+func restart(d *testDeployment, ts *testscript.TestScript, args []string) {
+	p := d.process(ts, args)
+	<-p.exited
 	content, err := os.ReadFile(p.config)
 	ts.Check(err)
 	text := string(content)
 	for key, address := range map[string]string{"callers": p.callers, "operators": p.operators, "peers": p.peers} {
-		text = strings.Replace(text, fmt.Sprintf("%s = %q", key, w.listenAt), fmt.Sprintf("%s = %q", key, address), 1)
+		text = strings.Replace(text, fmt.Sprintf("%s = %q", key, d.listenAddress), fmt.Sprintf("%s = %q", key, address), 1)
 	}
 	ts.Check(os.WriteFile(p.config, []byte(text), 0o600))
-	w.start(ts, p.name, p.config)
-	w.aim(ts)
+	d.start(ts, p.name, p.config)
+	d.useRunningEntry(ts)
 }
 
-func (w *world) context() (context.Context, context.CancelFunc) {
+func (d *testDeployment) context() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), waitLimit)
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -49,7 +49,7 @@
 
 // A command with the name of one of testscript's own is never run: "stop" ends a
 // script as passed, so that one scenario checked nothing behind it.
-func TestNoCommandHidesBehindABuiltInOne(t *testing.T) {
+func TestCommandsDoNotShadowBuiltins(t *testing.T) {
 	builtIn := strings.Fields("cat cd chmod cmp cmpenv cp env exec exists grep kill mkdir mv rm skip " +
 		"stderr stdin stdout stop symlink ttyin ttyout unix2dos unquote wait")
 	for name := range commands {
@@ -68,60 +68,62 @@
 	})
 }
 
-type worldKey struct{}
+type deploymentKey struct{}
 
 func setUp(env *testscript.Env) error {
-	w, err := newWorld(env)
+	d, err := newTestDeployment(env)
 	if err != nil {
 		return err
 	}
-	env.Values[worldKey{}] = w
-	env.Defer(w.close)
+	env.Values[deploymentKey{}] = d
+	env.Defer(d.close)
 	return nil
 }
 
-func worldOf(ts *testscript.TestScript) *world { return ts.Value(worldKey{}).(*world) }
+func deploymentOf(ts *testscript.TestScript) *testDeployment {
+	return ts.Value(deploymentKey{}).(*testDeployment)
+}
 
 // command is a scenario's command without a negated form.
-type command func(w *world, ts *testscript.TestScript, args []string)
+type command func(d *testDeployment, ts *testscript.TestScript, args []string)
 
-func plain(name string, run command) func(*testscript.TestScript, bool, []string) {
+func withoutNegation(name string, run command) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		if neg {
 			ts.Fatalf("%s has no negated form", name)
 		}
-		run(worldOf(ts), ts, args)
+		run(deploymentOf(ts), ts, args)
 	}
 }
 
 var commands = map[string]func(*testscript.TestScript, bool, []string){
-	"publish":        plain("publish", publish),
-	"origin":         plain("origin", origin),
-	"kv":             plain("kv", keyValue),
-	"list":           plain("list", list),
-	"entry":          plain("entry", entry),
-	"agent":          plain("agent", agent),
-	"kill9-runner":   plain("kill9-runner", killRunner),
-	"kill9-entry-of": plain("kill9-entry-of", killEntryOf),
-	"kill9":          plain("kill9", kill),
-	"freeze":         plain("freeze", freeze),
-	"thaw":           plain("thaw", thaw),
-	"terminate":      plain("terminate", terminate),
-	"restart":        plain("restart", restart),
-	"await-live":     plain("await-live", awaitLive),
-	"await-serving":  plain("await-serving", awaitServing),
-	"await-status":   plain("await-status", awaitStatus),
-	"await-fetch":    plain("await-fetch", awaitFetch),
-	"await-table":    plain("await-table", awaitTable),
-	"await-plan":     plain("await-plan", awaitPlan),
-	"freeze-planner": plain("freeze-planner", freezePlanner),
-	"callers":        plain("callers", callers),
-	"request":        plain("request", request),
-	"await-first":    plain("await-first", awaitFirst),
-	"outcome":        plain("outcome", outcome),
-	"ran":            plain("ran", ran),
-	"usage":          plain("usage", usage),
-	"refused-path":   plain("refused-path", refusedPath),
+	"publish":        withoutNegation("publish", publish),
+	"origin":         withoutNegation("origin", origin),
+	"kv":             withoutNegation("kv", keyValue),
+	"list":           withoutNegation("list", list),
+	"entry":          withoutNegation("entry", entry),
+	"agent":          withoutNegation("agent", agent),
+	"kill9-runner":   withoutNegation("kill9-runner", killRunner),
+	"kill9-entry-of": withoutNegation("kill9-entry-of", killEntryOf),
+	"kill9":          withoutNegation("kill9", kill),
+	"freeze":         withoutNegation("freeze", freeze),
+	"thaw":           withoutNegation("thaw", thaw),
+	"terminate":      withoutNegation("terminate", terminate),
+	"restart":        withoutNegation("restart", restart),
+	"await-live":     withoutNegation("await-live", awaitLive),
+	"await-serving":  withoutNegation("await-serving", awaitServing),
+	"await-status":   withoutNegation("await-status", awaitStatus),
+	"await-fetch":    withoutNegation("await-fetch", awaitFetch),
+	"await-table":    withoutNegation("await-table", awaitTable),
+	"await-plan":     withoutNegation("await-plan", awaitPlan),
+	"freeze-planner": withoutNegation("freeze-planner", freezePlanner),
+	"callers":        withoutNegation("callers", callers),
+	"request":        withoutNegation("request", request),
+	"await-first":    withoutNegation("await-first", awaitResponseStart),
+	"outcome":        withoutNegation("outcome", outcome),
+	"ran":            withoutNegation("ran", ran),
+	"usage":          withoutNegation("usage", usage),
+	"refused-path":   withoutNegation("refused-path", refusedPath),
 }
 
 // options reads the words key=value after the fixed ones.
@@ -153,7 +155,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			worldOf(ts).dumpLogs(ts)
+			deploymentOf(ts).dumpLogs(ts)
 			ts.Fatalf("%s did not come true: %s", what, reason)
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/internal/scenario/usage_test.go
+++ b/internal/scenario/usage_test.go
@@ -16,17 +16,17 @@
 
 // usage TIME logs what each process used in that time: part of a core and
 // resident memory. It judges nothing; the figures are for docs/CAPACITY.md.
-func usage(w *world, ts *testscript.TestScript, args []string) {
+func usage(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 1)
 	span, err := time.ParseDuration(args[0])
 	ts.Check(err)
 	before := make(map[string]float64)
-	for _, name := range w.order {
-		before[name] = cpuSeconds(ts, w.processes[name].cmd.Process.Pid)
+	for _, name := range d.startOrder {
+		before[name] = cpuSeconds(ts, d.processes[name].cmd.Process.Pid)
 	}
 	time.Sleep(span)
-	for _, name := range w.order {
-		pid := w.processes[name].cmd.Process.Pid
+	for _, name := range d.startOrder {
+		pid := d.processes[name].cmd.Process.Pid
 		used := cpuSeconds(ts, pid) - before[name]
 		ts.Logf("usage %s: %.2f%% of a core, %.1f MB resident", name, 100*used/span.Seconds(), residentMegabytes(ts, pid))
 	}
--- /dev/null
+++ b/internal/soak/deployment_test.go
@@ -0,0 +1,243 @@
+package soak
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/cinderslip/cinderslip/platform/standin"
+)
+
+const (
+	chunkCount     = 6
+	chunkSize      = 20_000
+	eventCount     = 12
+	eventInterval  = 30 * time.Millisecond
+	originMaxConns = 40
+)
+
+// The ports, alike on all boxes.
+const (
+	portPeers = 17000 + iota
+	portCallers
+	portReadiness
+	portDirectory
+	portAgents
+	portServers
+)
+
+// testDeployment is one deployment: stand-ins of the platform in this process, entry boxes and
+// agents as processes of their own, and proxies before the store and every server.
+type testDeployment struct {
+	t      *testing.T
+	random *rand.Rand
+	// restartRand draws which servers start again, apart from random, so that seeds that are kept
+	// draw all else as they did when they failed.
+	restartRand *rand.Rand
+	// signalRand draws what servers say of themselves, apart from random for the same reason.
+	signalRand *rand.Rand
+	// limitRand draws the rate limits of servers, apart from random for the same reason.
+	limitRand *rand.Rand
+	index     int
+
+	store           *standin.Store
+	origin          *standin.Origin
+	servers         []*server
+	entries         []*process
+	agents          []*process
+	callerAddresses []string
+	listeners       []net.Listener
+	proxies         []*proxy
+	storeProxy      *proxy
+	originAddr      string
+	// pendingRestarts are the servers that have crashed and will start again.
+	pendingRestarts sync.WaitGroup
+
+	// mu orders what the operator writes.
+	mu            sync.Mutex
+	newestVersion int
+	nextConfig    int
+}
+
+// server is a stand-in of a backend server behind its proxy.
+type server struct {
+	*standin.Server
+	id      string
+	service string
+	proxy   *proxy
+}
+
+func newTestDeployment(t *testing.T, seed uint64, number int) *testDeployment {
+	w := &testDeployment{
+		t: t, random: rand.New(rand.NewPCG(seed, seed)), index: number, //nolint:gosec // repeatable on purpose
+		restartRand: rand.New(rand.NewPCG(seed, seed+1)), //nolint:gosec // repeatable on purpose
+		signalRand:  rand.New(rand.NewPCG(seed, seed+2)), //nolint:gosec // repeatable on purpose
+		limitRand:   rand.New(rand.NewPCG(seed, seed+3)), //nolint:gosec // repeatable on purpose
+		store:       standin.NewStore(), origin: standin.NewOrigin(chunkCount, chunkSize), newestVersion: 1, nextConfig: 1,
+	}
+	t.Cleanup(w.close)
+	w.storeProxy = w.addProxy("127.0.0.1:0", w.serve(w.store))
+	for i := range *modelServerCount {
+		w.addServer(fmt.Sprintf("i-model-%d", i), "llm", "daka", w.ip(50+i))
+	}
+	for i := range *plainServerCount {
+		w.addServer(fmt.Sprintf("i-plain-%d", i), "maps", "", w.ip(150+i))
+	}
+	w.putConfig()
+	dir := t.TempDir()
+	seeds := fmt.Sprintf("entries = [%q]", fmt.Sprintf("%s:%d", w.ip(1), portPeers))
+	for i := range *entryBoxCount {
+		w.addEntry(dir, fmt.Sprintf("entry-%d", i), w.ip(1+i), seeds)
+	}
+	for i := range *modelServerCount {
+		w.addAgent(dir, fmt.Sprintf("agent-%d", i), w.ip(50+i), seeds, w.servers[i])
+	}
+	return w
+}
+
+// ip returns an address that no other world of this process uses, nor one of a soak that runs
+// beside it.
+func (d *testDeployment) ip(n int) string {
+	return fmt.Sprintf("127.%d.%d.%d", 20+(os.Getpid()+d.index/200)%200, 1+d.index%200, n)
+}
+
+func (d *testDeployment) serve(handler http.Handler) string {
+	var config net.ListenConfig
+	listener, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	d.listeners = append(d.listeners, listener)
+	go func() { _ = http.Serve(listener, handler) }() //nolint:gosec // a stand-in on loopback
+	return listener.Addr().String()
+}
+
+func (d *testDeployment) addProxy(address, target string) *proxy {
+	p, err := newProxy(address, target)
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	d.proxies = append(d.proxies, p)
+	return p
+}
+
+func (d *testDeployment) addServer(id, service, model, ip string) {
+	version := uint64(0)
+	if model != "" {
+		version = 1
+	}
+	s := &server{id: id, service: service, Server: standin.NewServer(standin.ServerOptions{
+		ID: id, Model: model, Version: version, Chunks: chunkCount, Digest: d.origin.Digest,
+		Events: eventCount, EventInterval: eventInterval, LoadTime: 50 * time.Millisecond,
+	})}
+	s.proxy = d.addProxy(fmt.Sprintf("%s:%d", ip, portServers), d.serve(s))
+	d.servers = append(d.servers, s)
+	d.store.Put("servers/"+id, s.Entry(service, s.proxy.address(), "hall-a", false))
+}
+
+func (d *testDeployment) addEntry(dir, name, ip, seeds string) {
+	callers := fmt.Sprintf("%s:%d", ip, portCallers)
+	listen := []string{
+		fmt.Sprintf("callers = %q", callers), fmt.Sprintf("readiness = \"%s:%d\"", ip, portReadiness),
+		fmt.Sprintf("directory = \"%s:%d\"", ip, portDirectory), fmt.Sprintf("peers = \"%s:%d\"", ip, portPeers),
+	}
+	d.entries = append(d.entries, newProcess(d.t, dir, name, renderSettings("entry", name, ip, listen, d.commonSettings(seeds))))
+	d.callerAddresses = append(d.callerAddresses, callers)
+}
+
+func (d *testDeployment) addAgent(dir, name, ip, seeds string, s *server) {
+	listen := []string{fmt.Sprintf("peers = \"%s:%d\"", ip, portAgents)}
+	rest := append(d.commonSettings(seeds), fmt.Sprintf("server = %q", s.proxy.address()), fmt.Sprintf("service = %q", s.service))
+	d.agents = append(d.agents, newProcess(d.t, dir, name, renderSettings("agent", name, ip, listen, rest)))
+}
+
+func (d *testDeployment) commonSettings(seeds string) []string {
+	return []string{
+		"[peers]", seeds, "[direct]", fmt.Sprintf("store = %q", d.storeProxy.address()), fmt.Sprintf("agent_port = %d", portAgents),
+		"memory_limit_megabytes = 150", "link_mbps = 100.0", `version_bound = "8s"`, "retry_ratio = 0.2", "retry_extra = 1000", `retry_window = "10s"`,
+	}
+}
+
+func (d *testDeployment) processes() []*process {
+	return append(append([]*process(nil), d.entries...), d.agents...)
+}
+
+func (d *testDeployment) close() {
+	for _, p := range d.processes() {
+		p.signal(syscall.SIGCONT)
+		p.stop(syscall.SIGKILL)
+	}
+	d.pendingRestarts.Wait()
+	for _, p := range d.proxies {
+		p.close()
+	}
+	for _, listener := range d.listeners {
+		_ = listener.Close()
+	}
+}
+
+// putConfig writes the next configuration; each adds a route, which is returned.
+func (d *testDeployment) putConfig() (added string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	route := func(name, kind, service string, resumable bool) map[string]any {
+		return map[string]any{
+			"Name": name, "Host": "a.example", "PathPrefix": "/" + name + "/", "Type": kind, "TimeoutMs": 3000, "TargetLatencyMs": 400,
+			"Service": service, "MaxAttempts": 2, "Resumable": resumable, "gap_aim_ms": 300, "Public": true,
+		}
+	}
+	routes := []any{
+		route("talk", "streaming", "llm", true), route("once", "streaming", "llm", false),
+		route("look", "safe", "maps", false), route("book", "unsafe", "maps", false),
+	}
+	for i := range d.nextConfig {
+		added = fmt.Sprintf("extra-%d", i)
+		routes = append(routes, route(added, "safe", "maps", false))
+	}
+	engine := map[string]any{
+		"Slots": 4, "Models": []map[string]any{{"Name": "daka", "WarmupS": 0.05}}, "layers": standin.LayerCount,
+		"chunks": chunkCount, "chunk_bytes": chunkSize, "step_ms": 7.0, "read_per_s": 30000.0, "stride": 6, "chunk": 2048,
+	}
+	d.put("op/config", map[string]any{
+		"Version": d.nextConfig, "Routes": routes, "Limits": map[string]any{"MaxBodyBytes": 1000},
+		"Services": []any{
+			map[string]any{"Name": "llm", "MaxConnections": 50, "Engine": engine},
+			map[string]any{"Name": "maps", "MaxConnections": 50},
+			map[string]any{"Name": "weights", "origin": d.originAddress(), "MaxConnections": originMaxConns},
+		},
+	})
+	d.nextConfig++
+	return added
+}
+
+// originAddress serves the origin at the first call.
+func (d *testDeployment) originAddress() string {
+	if d.originAddr == "" {
+		d.originAddr = d.serve(d.origin)
+	}
+	return d.originAddr
+}
+
+// publishVersion names the next version of the weights.
+func (d *testDeployment) publishVersion() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.newestVersion++
+	d.put("op/version/daka", map[string]any{"Model": "daka", "Version": d.newestVersion})
+}
+
+func (d *testDeployment) put(key string, value any) {
+	raw, err := json.Marshal(value)
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	d.store.Put(key, raw)
+}
--- a/internal/soak/limits_test.go
+++ b/internal/soak/limits_test.go
@@ -15,8 +15,8 @@
 // resumed shortly before.
 
 const (
-	// limitEvery is the mean time between two limit changes, over all servers.
-	limitEvery = time.Second
+	// limitChangeInterval is the mean time between two limit changes, over all servers.
+	limitChangeInterval = time.Second
 	// faultFreeLimitTime is how long servers have a limit after all faults have ended.
 	faultFreeLimitTime = 6 * time.Second
 	// limitEffectDelay is the time from when a box first passes on a limit until its requests are counted.
@@ -32,35 +32,35 @@
 var limitValues = []string{"0", "0.05", "1", "1.9", "5", "20", "1000", "", "-1", "NaN", "few"}
 
 // varyLimits sets and removes the limits of randomly chosen servers for a time.
-func (w *world) varyLimits(lasts time.Duration) {
+func (d *testDeployment) varyLimits(lasts time.Duration) {
 	for end := time.Now().Add(lasts); time.Now().Before(end); {
-		w.servers[w.limits.IntN(len(w.servers))].SetRateLimit(limitValues[w.limits.IntN(len(limitValues))])
-		time.Sleep(time.Duration(w.limits.Int64N(int64(2 * limitEvery))))
+		d.servers[d.limitRand.IntN(len(d.servers))].SetRateLimit(limitValues[d.limitRand.IntN(len(limitValues))])
+		time.Sleep(time.Duration(d.limitRand.Int64N(int64(2 * limitChangeInterval))))
 	}
 }
 
 // limitWithoutFaults limits one server of each service for a time while no faults are injected.
-func (w *world) limitWithoutFaults() {
-	w.servers[0].SetRateLimit("0")
-	w.servers[len(w.servers)-1].SetRateLimit("1")
+func (d *testDeployment) limitWithoutFaults() {
+	d.servers[0].SetRateLimit("0")
+	d.servers[len(d.servers)-1].SetRateLimit("1")
 	time.Sleep(faultFreeLimitTime)
-	for _, s := range w.servers {
+	for _, s := range d.servers {
 		s.SetRateLimit("")
 	}
 }
 
-// hearLimit records when a caller has received an answer with a rate limit.
-func (l *load) hearLimit(id string) {
+// recordLimit records when a caller has received an answer with a rate limit.
+func (l *load) recordLimit(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limitHeard[id] = time.Now()
+	l.limitReceived[id] = time.Now()
 }
 
 // limitFindings reports the servers that got more requests than their limits allow.
 func (l *load) limitFindings() (findings []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, s := range l.w.servers {
+	for _, s := range l.deployment.servers {
 		limited := []standin.ReceivedRequest{}
 		for _, visit := range s.ReceivedRequests() {
 			if _, err := parseLimit(&visit); err != nil || len(limited) > 0 && visit.StartedAtMs != limited[0].StartedAtMs {
@@ -90,16 +90,16 @@
 func (l *load) exceededLimit(server string, limited []standin.ReceivedRequest) (findings []string) {
 	knownSince := make(map[string]time.Time)
 	for _, visit := range limited {
-		heard, entry := l.limitHeard[visit.RequestID], l.asks[visit.RequestID].entry
+		heard, entry := l.limitReceived[visit.RequestID], l.requests[visit.RequestID].entry
 		if first := knownSince[entry]; !heard.IsZero() && (first.IsZero() || heard.Before(first)) {
 			knownSince[entry] = heard
 		}
 	}
 	var counted []time.Time
 	for _, visit := range limited {
-		ask := l.asks[visit.RequestID]
+		ask := l.requests[visit.RequestID]
 		if since := knownSince[ask.entry]; !since.IsZero() && ask.sent.Sub(since) >= limitEffectDelay &&
-			!l.w.disturbedBetween(ask.entry, ask.sent.Add(-limitRecoveryTime), visit.At) {
+			!l.deployment.entryDisturbedBetween(ask.entry, ask.sent.Add(-limitRecoveryTime), visit.At) {
 			counted = append(counted, ask.sent)
 		}
 	}
--- a/internal/soak/load_test.go
+++ b/internal/soak/load_test.go
@@ -14,51 +14,51 @@
 )
 
 const (
-	callerWait = 3 * time.Second
-	// failurePause is how long a caller waits after a request that was not served.
-	failurePause = 20 * time.Millisecond
+	callerTimeout = 3 * time.Second
+	// failureBackoff is how long a caller waits after a request that was not served.
+	failureBackoff = 20 * time.Millisecond
 )
 
-// kinds are the routes that callers use.
-var kinds = []string{"talk", "once", "look", "book"}
+// routeKinds are the routes that callers use.
+var routeKinds = []string{"talk", "once", "look", "book"}
 
 // load is the callers, and what they have seen.
 type load struct {
-	w      *world
-	client *http.Client
-	number atomic.Int64
-	ended  atomic.Bool
-	all    sync.WaitGroup
+	deployment *testDeployment
+	client     *http.Client
+	lastID     atomic.Int64
+	stopped    atomic.Bool
+	wg         sync.WaitGroup
 
-	mu       sync.Mutex
-	refused  []string
-	once     []string
-	problems []string
-	counts   map[string]int
-	// asks are all requests by their ids; heard is when the head of an answer came in which its server says that
+	mu         sync.Mutex
+	rejected   []string
+	atMostOnce []string
+	problems   []string
+	counts     map[string]int
+	// requests are all requests by their ids; heard is when the head of an answer came in which its server says that
 	// it leaves.
-	asks  map[string]asked
-	heard map[string]time.Time
-	// limitHeard is when the header of an answer with a rate limit was received, by request id.
-	limitHeard map[string]time.Time
+	requests        map[string]sentRequest
+	leavingReceived map[string]time.Time
+	// limitReceived is when the header of an answer with a rate limit was received, by request id.
+	limitReceived map[string]time.Time
 }
 
-func newLoad(w *world) *load {
+func newLoad(d *testDeployment) *load {
 	return &load{
-		w: w, counts: make(map[string]int), asks: make(map[string]asked),
-		heard: make(map[string]time.Time), limitHeard: make(map[string]time.Time),
-		client: &http.Client{Timeout: callerWait + time.Second, Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 4}},
+		deployment: d, counts: make(map[string]int), requests: make(map[string]sentRequest),
+		leavingReceived: make(map[string]time.Time), limitReceived: make(map[string]time.Time),
+		client: &http.Client{Timeout: callerTimeout + time.Second, Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 4}},
 	}
 }
 
 // run starts the callers. Each keeps its connections open until the process is gone.
 func (l *load) run(callers int) {
 	for range callers {
-		l.all.Go(func() {
-			for !l.ended.Load() {
-				kind := kinds[rand.IntN(len(kinds))]
-				if !l.ask(kind, l.w.callers[rand.IntN(len(l.w.callers))]) {
-					time.Sleep(failurePause)
+		l.wg.Go(func() {
+			for !l.stopped.Load() {
+				kind := routeKinds[rand.IntN(len(routeKinds))]
+				if !l.send(kind, l.deployment.callerAddresses[rand.IntN(len(l.deployment.callerAddresses))]) {
+					time.Sleep(failureBackoff)
 				}
 			}
 		})
@@ -67,17 +67,17 @@
 
 // stop waits for the requests that are in progress.
 func (l *load) stop() {
-	l.ended.Store(true)
-	l.all.Wait()
+	l.stopped.Store(true)
+	l.wg.Wait()
 }
 
-// awaitServed waits until every entry box answers every kind of request.
-func (l *load) awaitServed(t *testing.T) {
+// awaitServing waits until every entry box answers every kind of request.
+func (l *load) awaitServing(t *testing.T) {
 	t.Helper()
-	deadline := time.Now().Add(settleLimit)
-	for _, entry := range l.w.callers {
-		for _, kind := range kinds {
-			for !l.ask(kind, entry) {
+	deadline := time.Now().Add(recoveryTimeout)
+	for _, entry := range l.deployment.callerAddresses {
+		for _, kind := range routeKinds {
+			for !l.send(kind, entry) {
 				if time.Now().After(deadline) {
 					t.Errorf("%s does not answer %s", entry, kind)
 					return
@@ -92,14 +92,14 @@
 // written at its return is in force on every entry box.
 func (l *load) awaitChange(t *testing.T) {
 	t.Helper()
-	silent := longestOutage * time.Duration(l.w.random.Int64N(100)) / 100
-	storeSwallows(l.w, 0, silent/2)
-	added := l.w.putConfig()
+	silent := maxOutage * time.Duration(l.deployment.random.Int64N(100)) / 100
+	blackholeStore(l.deployment, 0, silent/2)
+	added := l.deployment.putConfig()
 	began := time.Now()
 	var last time.Duration
-	for _, entry := range l.w.callers {
-		for !l.isKnown(entry, added) {
-			if time.Since(began) > settleLimit {
+	for _, entry := range l.deployment.callerAddresses {
+		for !l.hasRoute(entry, added) {
+			if time.Since(began) > recoveryTimeout {
 				t.Errorf("%s does not know route %s after the store was silent for %s", entry, added, silent)
 				return
 			}
@@ -108,18 +108,18 @@
 		last = time.Since(began)
 	}
 	t.Logf("the store was silent for %s, a change was in force everywhere %s later", silent, last.Round(time.Millisecond))
-	if *change > 0 && last > *change {
-		t.Errorf("a change took %s, want %s at most", last, *change)
+	if *maxChangeTime > 0 && last > *maxChangeTime {
+		t.Errorf("a change took %s, want %s at most", last, *maxChangeTime)
 	}
 }
 
-// longestOutage is the longest silence of the store before a change, longer than any wait
+// maxOutage is the longest silence of the store before a change, longer than any wait
 // between two calls of it.
-const longestOutage = 6 * time.Second
+const maxOutage = 6 * time.Second
 
-// isKnown reports whether an entry box has a route.
-func (l *load) isKnown(entry, route string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), callerWait)
+// hasRoute reports whether an entry box has a route.
+func (l *load) hasRoute(entry, route string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+"/"+route+"/1", http.NoBody)
 	if err != nil {
@@ -127,7 +127,7 @@
 		return true
 	}
 	request.Host = "a.example"
-	request.Header.Set("X-Request-Id", fmt.Sprintf("r-%d-%d", l.w.number, l.number.Add(1)))
+	request.Header.Set("X-Request-Id", fmt.Sprintf("r-%d-%d", l.deployment.index, l.lastID.Add(1)))
 	response, err := l.client.Do(request)
 	if err != nil {
 		return false
@@ -136,14 +136,14 @@
 	return response.StatusCode != http.StatusNotFound
 }
 
-// ask sends one request and checks what comes back. It reports whether the request was
+// send sends one request and checks what comes back. It reports whether the request was
 // answered with success.
-func (l *load) ask(kind, entry string) bool {
-	id := fmt.Sprintf("r-%d-%d", l.w.number, l.number.Add(1))
+func (l *load) send(kind, entry string) bool {
+	id := fmt.Sprintf("r-%d-%d", l.deployment.index, l.lastID.Add(1))
 	if kind == "once" || kind == "book" {
-		l.note(&l.once, id)
+		l.note(&l.atMostOnce, id)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callerWait)
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+"/"+kind+"/1", strings.NewReader("draft"))
 	if err != nil {
@@ -154,10 +154,10 @@
 	// Without this the client would send a request that it takes for repeatable twice.
 	request.GetBody = nil
 	request.Header.Set("X-Request-Id", id)
-	request.Header.Set("X-Deadline-Ms", fmt.Sprint(callerWait.Milliseconds()))
+	request.Header.Set("X-Deadline-Ms", fmt.Sprint(callerTimeout.Milliseconds()))
 	request.Header.Set("X-Token-Usage", "100,60")
 	l.mu.Lock()
-	l.asks[id] = asked{entry, time.Now()}
+	l.requests[id] = sentRequest{entry, time.Now()}
 	l.mu.Unlock()
 	response, err := l.client.Do(request)
 	if err != nil {
@@ -165,10 +165,10 @@
 		return false
 	}
 	if response.Header.Get("Server-Leaving") != "" {
-		l.hear(id)
+		l.recordLeaving(id)
 	}
 	if response.Header.Get("Server-Limit") != "" {
-		l.hearLimit(id)
+		l.recordLimit(id)
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
@@ -180,7 +180,7 @@
 	l.count(fmt.Sprint(response.StatusCode))
 	switch response.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
-		l.note(&l.refused, id)
+		l.note(&l.rejected, id)
 		if response.Header.Get("Retry-After") == "" {
 			l.problem("request %s was refused without a time to come back", id)
 		}
@@ -197,7 +197,7 @@
 	}
 	want := "answer to " + id
 	if kind == "talk" || kind == "once" {
-		want = wholeStream()
+		want = completeStream()
 	}
 	switch {
 	case err != nil && !strings.HasPrefix(want, body):
@@ -210,9 +210,9 @@
 	return err == nil
 }
 
-func wholeStream() string {
+func completeStream() string {
 	var want strings.Builder
-	for event := range events {
+	for event := range eventCount {
 		fmt.Fprintf(&want, "id: %d\ndata: token %d\n\n", event+1, event+1)
 	}
 	return want.String()
@@ -237,7 +237,7 @@
 // findings are the promises that were broken.
 func (l *load) findings() []string {
 	runs := make(map[string]int)
-	for _, s := range l.w.servers {
+	for _, s := range l.deployment.servers {
 		for id, count := range s.Runs() {
 			runs[id] += count
 		}
@@ -245,12 +245,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	findings := append([]string(nil), l.problems...)
-	for _, id := range l.once {
+	for _, id := range l.atMostOnce {
 		if runs[id] > 1 {
 			findings = append(findings, fmt.Sprintf("request %s may run once and ran %d times", id, runs[id]))
 		}
 	}
-	for _, id := range l.refused {
+	for _, id := range l.rejected {
 		if runs[id] > 0 {
 			findings = append(findings, fmt.Sprintf("request %s was refused as not run and ran %d times", id, runs[id]))
 		}
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -18,22 +18,22 @@
 	config string
 	log    string
 
-	// busy is held by the fault that ends, freezes or starts the process.
-	busy sync.Mutex
+	// lifecycle is held by the fault that ends, freezes or starts the process.
+	lifecycle sync.Mutex
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	ended  chan struct{}
-	wanted bool // whether the soak ended the run itself
-	exits  []string
-	// starts are when the runs began.
-	starts []time.Time
-	// wakes are when it went on after it had stood still.
-	wakes []time.Time
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	exited        chan struct{}
+	stopRequested bool // whether the soak ended the run itself
+	problems      []string
+	// startedAt are when the runs began.
+	startedAt []time.Time
+	// resumedAt are when it went on after it had stood still.
+	resumedAt []time.Time
 }
 
-// settingsOf fills the settings of one role, as the platform does.
-func settingsOf(role, name, ip string, listen, rest []string) string {
+// renderSettings fills the settings of one role, as the platform does.
+func renderSettings(role, name, ip string, listen, rest []string) string {
 	lines := []string{
 		`mode = "direct"`, fmt.Sprintf("role = %q", role), fmt.Sprintf("box = %q", name), `region = "r"`, `failure_domain = "hall-a"`,
 		"[listen]", fmt.Sprintf("metrics = %q", ip+":0"),
@@ -61,20 +61,20 @@
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(program, "--config", p.config) //nolint:gosec // the program that TestMain built
+	cmd := exec.Command(daemonPath, "--config", p.config) //nolint:gosec // the program that TestMain built
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	ended := make(chan struct{})
-	p.cmd, p.ended, p.wanted = cmd, ended, false
-	p.starts = append(p.starts, time.Now())
+	p.cmd, p.exited, p.stopRequested = cmd, ended, false
+	p.startedAt = append(p.startedAt, time.Now())
 	go func() {
 		err := cmd.Wait()
 		_ = log.Close()
 		p.mu.Lock()
-		if !p.wanted {
-			p.exits = append(p.exits, fmt.Sprintf("%s ended by itself: %v", p.name, err))
+		if !p.stopRequested {
+			p.problems = append(p.problems, fmt.Sprintf("%s ended by itself: %v", p.name, err))
 		}
 		p.mu.Unlock()
 		close(ended)
@@ -89,7 +89,7 @@
 	if p.cmd == nil {
 		return
 	}
-	p.wanted = p.wanted || signal == syscall.SIGKILL || signal == syscall.SIGTERM
+	p.stopRequested = p.stopRequested || signal == syscall.SIGKILL || signal == syscall.SIGTERM
 	_ = p.cmd.Process.Signal(signal)
 }
 
@@ -97,32 +97,32 @@
 func (p *process) stop(signal syscall.Signal) {
 	p.signal(signal)
 	p.mu.Lock()
-	ended := p.ended
+	ended := p.exited
 	p.mu.Unlock()
 	if ended == nil {
 		return
 	}
 	select {
 	case <-ended:
-	case <-time.After(stopLimit):
+	case <-time.After(stopTimeout):
 		p.signal(syscall.SIGKILL)
 		<-ended
 	}
 }
 
-// stopLimit is the grace of a planned stop, with room for a busy machine.
-const stopLimit = 8 * time.Second
+// stopTimeout is the grace of a planned stop, with room for a busy machine.
+const stopTimeout = 8 * time.Second
 
-// report notes a finding.
-func (p *process) report(finding string) {
+// addFinding notes a finding.
+func (p *process) addFinding(finding string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.exits = append(p.exits, p.name+": "+finding)
+	p.problems = append(p.problems, p.name+": "+finding)
 }
 
 // findings are the runs that ended by themselves.
 func (p *process) findings() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]string(nil), p.exits...)
+	return append([]string(nil), p.problems...)
 }
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -16,23 +16,23 @@
 	mu sync.Mutex
 	// delay holds up each block in both directions.
 	delay time.Duration
-	// silentUp and silentDown swallow what goes to the target and what comes from it;
+	// blackholeUp and blackholeDown swallow what goes to the target and what comes from it;
 	// connections stay open.
-	silentUp, silentDown bool
+	blackholeUp, blackholeDown bool
 	// refuse closes new connections at once.
 	refuse bool
-	open   map[net.Conn]*link
+	conns  map[net.Conn]*connState
 }
 
-// link is one connection that passes.
-type link struct {
-	// mute swallows what comes in from either side, for good.
-	mute bool
+// connState is one connection that passes.
+type connState struct {
+	// blackholed swallows what comes in from either side, for good.
+	blackholed bool
 }
 
 // newProxy listens at an address.
 func newProxy(address, target string) (*proxy, error) {
-	p := &proxy{target: target, open: make(map[net.Conn]*link)}
+	p := &proxy{target: target, conns: make(map[net.Conn]*connState)}
 	return p, p.listen(address)
 }
 
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// end stops listening and breaks all connections off, as a process does that crashes.
-func (p *proxy) end() {
+// close stops listening and breaks all connections off, as a process does that crashes.
+func (p *proxy) close() {
 	p.mu.Lock()
 	_ = p.listener.Close()
 	p.mu.Unlock()
@@ -70,11 +70,11 @@
 		if err != nil {
 			return
 		}
-		go p.pass(near)
+		go p.forward(near)
 	}
 }
 
-func (p *proxy) pass(near net.Conn) {
+func (p *proxy) forward(near net.Conn) {
 	defer func() { _ = near.Close() }()
 	p.mu.Lock()
 	refused := p.refuse
@@ -88,18 +88,18 @@
 		return
 	}
 	defer func() { _ = far.Close() }()
-	passing := new(link)
+	passing := new(connState)
 	p.mu.Lock()
-	p.open[near] = passing
+	p.conns[near] = passing
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		delete(p.open, near)
+		delete(p.conns, near)
 		p.mu.Unlock()
 	}()
 	done := make(chan struct{}, 2)
-	go p.copy(far, near, func() bool { return p.silentUp || passing.mute }, done)
-	go p.copy(near, far, func() bool { return p.silentDown || passing.mute }, done)
+	go p.copy(far, near, func() bool { return p.blackholeUp || passing.blackholed }, done)
+	go p.copy(near, far, func() bool { return p.blackholeDown || passing.blackholed }, done)
 	<-done
 }
 
@@ -128,7 +128,7 @@
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for conn := range p.open {
+	for conn := range p.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
@@ -136,26 +136,26 @@
 	}
 }
 
-// muteOpen lets the connections that are open go silent for good; new ones pass.
-func (p *proxy) muteOpen() {
+// blackholeOpenConns lets the connections that are open go silent for good; new ones pass.
+func (p *proxy) blackholeOpenConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.mute()
+	p.blackholeOpenConnsLocked()
 }
 
-// mute is muteOpen with the lock held.
-func (p *proxy) mute() {
-	for _, passing := range p.open {
-		passing.mute = true
+// blackholeOpenConnsLocked is blackholeOpenConns with the lock held.
+func (p *proxy) blackholeOpenConnsLocked() {
+	for _, passing := range p.conns {
+		passing.blackholed = true
 	}
 }
 
-// swallow ends a silence in which calls were swallowed: they get no answer any more, and
+// endBlackhole ends a silence in which calls were swallowed: they get no answer any more, and
 // their connections stay open.
-func (p *proxy) swallow() {
+func (p *proxy) endBlackhole() {
 	p.set(func(p *proxy) {
-		p.mute()
-		p.silentUp, p.silentDown = false, false
+		p.blackholeOpenConnsLocked()
+		p.blackholeUp, p.blackholeDown = false, false
 	})
 }
 
@@ -166,8 +166,8 @@
 	change(p)
 }
 
-// heal ends all harm. What was swallowed is lost, so open connections end too.
-func (p *proxy) heal() {
-	p.set(func(p *proxy) { p.delay, p.silentUp, p.silentDown, p.refuse = 0, false, false, false })
+// clearFaults ends all harm. What was swallowed is lost, so open connections end too.
+func (p *proxy) clearFaults() {
+	p.set(func(p *proxy) { p.delay, p.blackholeUp, p.blackholeDown, p.refuse = 0, false, false, false })
 	p.reset()
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -27,21 +27,21 @@
 )
 
 var (
-	seeds = flag.Int("soak.seeds", 2, "how many seeds are run")
-	from  = flag.Uint64("soak.from", 1, "the first seed")
-	long  = flag.Duration("soak.for", 4*time.Second, "for how long each seed injects faults")
+	seedCount = flag.Int("soak.seeds", 2, "how many seeds are run")
+	firstSeed = flag.Uint64("soak.from", 1, "the first seed")
+	faultTime = flag.Duration("soak.for", 4*time.Second, "for how long each seed injects faults")
 	// Larger worlds than CI's are for runs by hand: each entry box and each model server is a process, at most 49
 	// and 99 of them.
-	entryBoxes   = flag.Int("soak.entries", 3, "how many entry boxes there are")
-	modelServers = flag.Int("soak.models", 3, "how many model servers there are, each with an agent")
-	plainServers = flag.Int("soak.plains", 2, "how many servers there are without a model")
-	atOnce       = flag.Int("soak.callers", 6, "how many callers send one request after the other")
-	// change is not judged by default, as a busy machine must not decide a verdict.
-	change = flag.Duration("soak.change", 0, "in which time a change must be in force on every entry box; 0: any")
+	entryBoxCount    = flag.Int("soak.entries", 3, "how many entry boxes there are")
+	modelServerCount = flag.Int("soak.models", 3, "how many model servers there are, each with an agent")
+	plainServerCount = flag.Int("soak.plains", 2, "how many servers there are without a model")
+	callerCount      = flag.Int("soak.callers", 6, "how many callers send one request after the other")
+	// maxChangeTime is not judged by default, as a busy machine must not decide a verdict.
+	maxChangeTime = flag.Duration("soak.change", 0, "in which time a change must be in force on every entry box; 0: any")
 )
 
-// program is the daemon that TestMain built.
-var program string
+// daemonPath is the daemon that TestMain built.
+var daemonPath string
 
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -49,8 +49,8 @@
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(dir, "cinderslipd")
-	build := exec.Command("go", "build", "-o", program, "../../cmd/cinderslipd") //nolint:gosec // fixed words
+	daemonPath = filepath.Join(dir, "cinderslipd")
+	build := exec.Command("go", "build", "-o", daemonPath, "../../cmd/cinderslipd") //nolint:gosec // fixed words
 	if out, err := build.CombinedOutput(); err != nil {
 		panic(fmt.Sprintf("building: %v\n%s", err, out))
 	}
@@ -59,14 +59,14 @@
 	os.Exit(code)
 }
 
-// settleLimit bounds the wait until everything works again after the faults; it never
+// recoveryTimeout bounds the wait until everything works again after the faults; it never
 // judges speed.
-const settleLimit = 40 * time.Second
+const recoveryTimeout = 40 * time.Second
 
 func TestPromisesHoldUnderFaults(t *testing.T) {
-	all := regressions(t)
-	for i := range *seeds {
-		all = append(all, *from+uint64(i))
+	all := regressionSeeds(t)
+	for i := range *seedCount {
+		all = append(all, *firstSeed+uint64(i))
 	}
 	for number, seed := range all {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
@@ -76,8 +76,8 @@
 	}
 }
 
-// regressions are the seeds that ever failed, each with a line on the cause.
-func regressions(t *testing.T) []uint64 {
+// regressionSeeds are the seeds that ever failed, each with a line on the cause.
+func regressionSeeds(t *testing.T) []uint64 {
 	t.Helper()
 	file, err := os.Open("testdata/regressions.txt")
 	if err != nil {
@@ -95,32 +95,32 @@
 }
 
 func runSeed(t *testing.T, seed uint64, number int) {
-	w := newWorld(t, seed, number)
-	for _, p := range w.processes() {
+	d := newTestDeployment(t, seed, number)
+	for _, p := range d.processes() {
 		if err := p.start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	load := newLoad(w)
-	load.awaitServed(t)
-	load.run(*atOnce)
-	load.runDeadly()
-	w.injectFaults(*long)
-	w.endFaults()
-	w.limitWithoutFaults()
+	load := newLoad(d)
+	load.awaitServing(t)
+	load.run(*callerCount)
+	load.runCrashRequests()
+	d.injectFaults(*faultTime)
+	d.clearFaults()
+	d.limitWithoutFaults()
 	load.stop()
-	load.awaitBarred(t)
-	load.awaitServed(t)
-	w.awaitVersion()
+	load.awaitBlocked(t)
+	load.awaitServing(t)
+	d.awaitNewestVersion()
 	load.awaitChange(t)
 	findings := load.findings()
-	findings = append(findings, load.wordFindings()...)
+	findings = append(findings, load.signalFindings()...)
 	findings = append(findings, load.limitFindings()...)
-	findings = append(findings, load.deadlyFindings()...)
-	for _, p := range w.processes() {
+	findings = append(findings, load.crashFindings()...)
+	for _, p := range d.processes() {
 		findings = append(findings, p.findings()...)
 	}
-	for _, s := range w.servers {
+	for _, s := range d.servers {
 		findings = append(findings, s.Violations()...)
 	}
 	for _, finding := range findings {
@@ -128,36 +128,36 @@
 	}
 	t.Logf("%s", load.summary())
 	if t.Failed() {
-		w.keepLogs(seed)
+		d.saveLogs(seed)
 	}
 }
 
-// keepLogs copies the logs of a failed seed out of the test's own folder.
-func (w *world) keepLogs(seed uint64) {
+// saveLogs copies the logs of a failed seed out of the test's own folder.
+func (d *testDeployment) saveLogs(seed uint64) {
 	dir := filepath.Join(os.TempDir(), fmt.Sprintf("soak-seed-%d", seed))
 	if err := os.MkdirAll(dir, 0o750); err != nil {
-		w.t.Log(err)
+		d.t.Log(err)
 		return
 	}
-	for _, p := range w.processes() {
+	for _, p := range d.processes() {
 		content, err := os.ReadFile(p.log)
 		if err == nil {
 			err = os.WriteFile(filepath.Join(dir, p.name+".log"), content, 0o600)
 		}
 		if err != nil {
-			w.t.Log(err)
+			d.t.Log(err)
 		}
 	}
-	w.t.Logf("logs are in %s", dir)
+	d.t.Logf("logs are in %s", dir)
 }
 
-// awaitVersion waits until every model server holds the newest weights.
-func (w *world) awaitVersion() {
-	deadline := time.Now().Add(settleLimit)
-	for _, s := range w.servers {
-		for s.service == "llm" && s.Version() != uint64(w.version) {
+// awaitNewestVersion waits until every model server holds the newest weights.
+func (d *testDeployment) awaitNewestVersion() {
+	deadline := time.Now().Add(recoveryTimeout)
+	for _, s := range d.servers {
+		for s.service == "llm" && s.Version() != uint64(d.newestVersion) {
 			if time.Now().After(deadline) {
-				w.t.Errorf("%s holds version %d after the faults have ended, want %d", s.link.address(), s.Version(), w.version)
+				d.t.Errorf("%s holds version %d after the faults have ended, want %d", s.proxy.address(), s.Version(), d.newestVersion)
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -165,20 +165,20 @@
 	}
 }
 
-// endFaults heals all links and starts what is not running.
-func (w *world) endFaults() {
-	w.store.SetFault("")
-	for _, p := range w.proxies {
-		p.heal()
+// clearFaults heals all links and starts what is not running.
+func (d *testDeployment) clearFaults() {
+	d.store.SetFault("")
+	for _, p := range d.proxies {
+		p.clearFaults()
 	}
-	for _, s := range w.servers {
+	for _, s := range d.servers {
 		s.SetUnresponsive(false)
 		s.SetErrorStatus(0)
 		s.TruncateStreamAt(0)
 		s.SetRateLimit("")
 	}
-	for _, p := range w.processes() {
+	for _, p := range d.processes() {
 		p.signal(syscall.SIGCONT)
 	}
-	w.endWords()
+	d.clearSignals()
 }
