--- a/internal/soak/crash_test.go
+++ b/internal/soak/crash_test.go
@@ -13,29 +13,31 @@
 	"github.com/cinderslip/cinderslip/platform/standin"
 )
 
-// A caller's request that ends each backend server that begins to run it, and comes again and again at any entry box. The
-// promise: once three servers have ended, and the boxes had propagationTime to tell each other, no more than three of its tries
-// reach a server, from boxes that were there all that time. Everybody else is answered as before.
+// One caller repeatedly sends a request that crashes every backend server that starts to run it, through all entry
+// boxes. After three crashes, and propagationTime for the entry boxes to exchange reports, at most three further
+// attempts may reach a server. Only attempts through boxes that ran undisturbed during that time count. Other requests
+// must still be served.
 
 const (
-	// crashBody is what ends a server.
+	// crashBody is the request body that crashes a server.
 	crashBody = "deadly"
-	// crashRequestInterval is how often it is sent, crashRequestTimeout for how long its caller waits.
+	// crashRequestInterval is the time between two of these requests, crashRequestTimeout how long the caller waits.
 	crashRequestInterval = 150 * time.Millisecond
 	crashRequestTimeout  = 2 * time.Second
-	// crashRestartDelay is for how long a server is away that has crashed.
+	// crashRestartDelay is the time from the crash of a server to its restart.
 	crashRestartDelay = 300 * time.Millisecond
-	// propagationTime is for how long a box must have been there, undisturbed, to be judged.
+	// propagationTime is how long an entry box must have run undisturbed before its requests are counted.
 	propagationTime = 3 * time.Second
-	// maxCrashes and maxLateRequests are how many servers may end, and how many tries may reach one after that.
+	// maxCrashes is how many servers the request may crash before it is blocked, and maxLateRequests how many attempts
+	// may reach a server after that.
 	maxCrashes      = 3
 	maxLateRequests = 3
 )
 
-// crashKinds are the routes on which it is sent, each a request of its own.
-var crashKinds = []string{"talk", "look"}
+// crashRoutes are the routes on which the request is sent. The system must treat each as a different request.
+var crashRoutes = []string{"talk", "look"}
 
-// crashServer ends a server and lets it start again, with the weights that it had, under its id.
+// crashServer closes a server's connections and restarts the server after a delay, with the same id and weights.
 func (d *testDeployment) crashServer(s *server) {
 	s.proxy.close()
 	version := s.Version()
@@ -50,27 +52,27 @@
 	})
 }
 
-// runCrashRequests sends the request until the load ends, to one entry box after the other.
+// runCrashRequests sends the crashing requests to the entry boxes in turn until the load stops.
 func (l *load) runCrashRequests() {
 	for _, s := range l.deployment.servers {
 		s.CrashOnBody(crashBody, func() { l.deployment.crashServer(s) })
 	}
-	for _, kind := range crashKinds {
+	for _, route := range crashRoutes {
 		l.wg.Go(func() {
 			for i := 0; !l.stopped.Load(); i++ {
-				l.sendCrashRequest(kind, l.deployment.callerAddresses[i%len(l.deployment.callerAddresses)])
+				l.sendCrashRequest(route, l.deployment.callerAddresses[i%len(l.deployment.callerAddresses)])
 				time.Sleep(crashRequestInterval)
 			}
 		})
 	}
 }
 
-// sendCrashRequest sends the request once and returns the status of its answer; 0 if there is none.
-func (l *load) sendCrashRequest(kind, entry string) int {
+// sendCrashRequest sends the request once and returns the status of the response, or 0 if there is none.
+func (l *load) sendCrashRequest(route, entry string) int {
 	id := fmt.Sprintf("d-%d-%d", l.deployment.index, l.lastID.Add(1))
 	ctx, cancel := context.WithTimeout(context.Background(), crashRequestTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+"/"+kind+"/1", strings.NewReader(crashBody))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+"/"+route+"/1", strings.NewReader(crashBody))
 	if err != nil {
 		l.problem("request %s: %v", id, err)
 		return 0
@@ -94,73 +96,74 @@
 	return response.StatusCode
 }
 
-// receivedCrashRequests are the tries of the request on a route that reached a server, in their order.
-func (l *load) receivedCrashRequests(kind string) (visits []standin.ReceivedRequest) {
+// receivedCrashRequests returns the attempts on a route that reached a server, ordered by time.
+func (l *load) receivedCrashRequests(route string) (attempts []standin.ReceivedRequest) {
 	for _, s := range l.deployment.servers {
-		for _, visit := range s.ReceivedRequests() {
-			if visit.Body == crashBody && strings.HasPrefix(visit.Path, "/"+kind+"/") {
-				visits = append(visits, visit)
+		for _, attempt := range s.ReceivedRequests() {
+			if attempt.Body == crashBody && strings.HasPrefix(attempt.Path, "/"+route+"/") {
+				attempts = append(attempts, attempt)
 			}
 		}
 	}
-	slices.SortFunc(visits, func(a, b standin.ReceivedRequest) int { return a.At.Compare(b.At) })
-	return visits
+	slices.SortFunc(attempts, func(a, b standin.ReceivedRequest) int { return a.At.Compare(b.At) })
+	return attempts
 }
 
-// crashFindings are the tries that reached servers although enough had ended.
+// crashFindings reports the routes on which too many attempts reached a server after maxCrashes.
 func (l *load) crashFindings() (findings []string) {
-	for _, kind := range crashKinds {
-		visits := l.receivedCrashRequests(kind)
-		if len(visits) <= maxCrashes {
+	for _, route := range crashRoutes {
+		attempts := l.receivedCrashRequests(route)
+		if len(attempts) <= maxCrashes {
 			continue
 		}
-		bound, late := visits[maxCrashes-1].At.Add(propagationTime), 0
-		for _, visit := range visits {
+		countFrom, late := attempts[maxCrashes-1].At.Add(propagationTime), 0
+		for _, attempt := range attempts {
 			l.mu.Lock()
-			entry := l.requests[visit.RequestID].entry
+			entry := l.requests[attempt.RequestID].entry
 			l.mu.Unlock()
-			if visit.At.After(bound) && !l.deployment.entryDisturbedBetween(entry, visit.At.Add(-propagationTime), visit.At) {
+			if attempt.At.After(countFrom) && !l.deployment.entryDisturbedBetween(entry, attempt.At.Add(-propagationTime), attempt.At) {
 				late++
 			}
 		}
-		l.deployment.t.Logf("%s: %d tries of the request that ends servers reached one, %d late", kind, len(visits), late)
+		l.deployment.t.Logf("%s: %d attempts of the crashing request reached a server, %d of them late", route, len(attempts), late)
 		if late > maxLateRequests {
-			findings = append(findings, fmt.Sprintf("a request on %s that had ended %d servers was sent to %d more", kind, maxCrashes, late))
+			findings = append(findings, fmt.Sprintf("a request on %s that had crashed %d servers was sent to servers %d more times", route, maxCrashes, late))
 		}
 	}
 	return findings
 }
 
-// awaitBlocked lets the request end as many servers as it may, and checks that every entry box refuses it then, and that no other
-// request is refused for good.
+// awaitBlocked sends the crashing requests until each has crashed maxCrashes servers. It then checks that every entry
+// box rejects them and that they crash no further server. runSeed checks afterwards, with awaitServing, that other
+// requests are still served.
 func (l *load) awaitBlocked(t *testing.T) {
 	t.Helper()
-	for _, kind := range crashKinds {
-		for i := 0; len(l.receivedCrashRequests(kind)) < maxCrashes && i < 100; i++ {
-			if l.sendCrashRequest(kind, l.deployment.callerAddresses[i%len(l.deployment.callerAddresses)]) == http.StatusServiceUnavailable {
+	for _, route := range crashRoutes {
+		for i := 0; len(l.receivedCrashRequests(route)) < maxCrashes && i < 100; i++ {
+			if l.sendCrashRequest(route, l.deployment.callerAddresses[i%len(l.deployment.callerAddresses)]) == http.StatusServiceUnavailable {
 				time.Sleep(50 * time.Millisecond)
 			}
 		}
 	}
 	time.Sleep(propagationTime)
-	for _, kind := range crashKinds {
-		before := len(l.receivedCrashRequests(kind))
+	for _, route := range crashRoutes {
+		before := len(l.receivedCrashRequests(route))
 		for _, entry := range l.deployment.callerAddresses {
-			if status := l.sendCrashRequest(kind, entry); status != http.StatusServiceUnavailable {
-				t.Errorf("%s answered %d on %s to what had ended %d servers", entry, status, kind, before)
+			if status := l.sendCrashRequest(route, entry); status != http.StatusServiceUnavailable {
+				t.Errorf("%s responded with status %d on %s to the request that had crashed %d servers", entry, status, route, before)
 			}
 		}
-		if after := len(l.receivedCrashRequests(kind)); after > before {
-			t.Errorf("%d more servers ended on %s, %d in all", after-before, kind, after)
+		if after := len(l.receivedCrashRequests(route)); after > before {
+			t.Errorf("%d more servers crashed on %s, %d in total", after-before, route, after)
 		}
 	}
 	l.deployment.pendingRestarts.Wait()
 }
 
-// entryDisturbedBetween reports whether an entry box was started, or woke from standing still, between two moments.
+// entryDisturbedBetween reports whether an entry box was started, or resumed after a freeze, between two times.
 func (d *testDeployment) entryDisturbedBetween(entry string, from, to time.Time) bool {
-	for i, callers := range d.callerAddresses {
-		if callers == entry {
+	for i, address := range d.callerAddresses {
+		if address == entry {
 			return d.entries[i].startedBetween(from, to) || d.entries[i].resumedBetween(from, to)
 		}
 	}
--- a/internal/soak/deployment_test.go
+++ b/internal/soak/deployment_test.go
@@ -24,7 +24,7 @@
 	originMaxConns = 40
 )
 
-// The ports, alike on all boxes.
+// The ports are the same on all boxes.
 const (
 	portPeers = 17000 + iota
 	portCallers
@@ -34,17 +34,17 @@
 	portServers
 )
 
-// testDeployment is one deployment: stand-ins of the platform in this process, entry boxes and
-// agents as processes of their own, and proxies before the store and every server.
+// testDeployment is a deployment under test. Stand-ins of the platform run in this process, entry boxes and agents run
+// as separate processes, and a proxy in front of the store and of each server injects network faults.
 type testDeployment struct {
 	t      *testing.T
 	random *rand.Rand
-	// restartRand draws which servers start again, apart from random, so that seeds that are kept
-	// draw all else as they did when they failed.
+	// restartRand chooses the servers to restart. It is separate from random so that the seeds in
+	// testdata/regressions.txt still choose all other faults as they did when they failed.
 	restartRand *rand.Rand
-	// signalRand draws what servers say of themselves, apart from random for the same reason.
+	// signalRand chooses the leaving and backoff signals of servers. It is separate from random for the same reason.
 	signalRand *rand.Rand
-	// limitRand draws the rate limits of servers, apart from random for the same reason.
+	// limitRand chooses the rate limits of servers. It is separate from random for the same reason.
 	limitRand *rand.Rand
 	index     int
 
@@ -58,16 +58,16 @@
 	proxies         []*proxy
 	storeProxy      *proxy
 	originAddr      string
-	// pendingRestarts are the servers that have crashed and will start again.
+	// pendingRestarts counts the crashed servers that will restart.
 	pendingRestarts sync.WaitGroup
 
-	// mu orders what the operator writes.
+	// mu protects newestVersion and nextConfig and orders the operator's writes.
 	mu            sync.Mutex
 	newestVersion int
 	nextConfig    int
 }
 
-// server is a stand-in of a backend server behind its proxy.
+// server is a stand-in for a backend server behind a proxy.
 type server struct {
 	*standin.Server
 	id      string
@@ -75,9 +75,9 @@
 	proxy   *proxy
 }
 
-func newTestDeployment(t *testing.T, seed uint64, number int) *testDeployment {
+func newTestDeployment(t *testing.T, seed uint64, index int) *testDeployment {
 	w := &testDeployment{
-		t: t, random: rand.New(rand.NewPCG(seed, seed)), index: number, //nolint:gosec // repeatable on purpose
+		t: t, random: rand.New(rand.NewPCG(seed, seed)), index: index, //nolint:gosec // repeatable on purpose
 		restartRand: rand.New(rand.NewPCG(seed, seed+1)), //nolint:gosec // repeatable on purpose
 		signalRand:  rand.New(rand.NewPCG(seed, seed+2)), //nolint:gosec // repeatable on purpose
 		limitRand:   rand.New(rand.NewPCG(seed, seed+3)), //nolint:gosec // repeatable on purpose
@@ -103,8 +103,8 @@
 	return w
 }
 
-// ip returns an address that no other world of this process uses, nor one of a soak that runs
-// beside it.
+// ip returns a loopback address that differs from those of other deployments in this process. It depends on the process
+// ID so that concurrent runs of this test rarely share addresses.
 func (d *testDeployment) ip(n int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 20+(os.Getpid()+d.index/200)%200, 1+d.index%200, n)
 }
@@ -144,19 +144,19 @@
 }
 
 func (d *testDeployment) addEntry(dir, name, ip, seeds string) {
-	callers := fmt.Sprintf("%s:%d", ip, portCallers)
+	callerAddress := fmt.Sprintf("%s:%d", ip, portCallers)
 	listen := []string{
-		fmt.Sprintf("callers = %q", callers), fmt.Sprintf("readiness = \"%s:%d\"", ip, portReadiness),
+		fmt.Sprintf("callers = %q", callerAddress), fmt.Sprintf("readiness = \"%s:%d\"", ip, portReadiness),
 		fmt.Sprintf("directory = \"%s:%d\"", ip, portDirectory), fmt.Sprintf("peers = \"%s:%d\"", ip, portPeers),
 	}
 	d.entries = append(d.entries, newProcess(d.t, dir, name, renderSettings("entry", name, ip, listen, d.commonSettings(seeds))))
-	d.callerAddresses = append(d.callerAddresses, callers)
+	d.callerAddresses = append(d.callerAddresses, callerAddress)
 }
 
 func (d *testDeployment) addAgent(dir, name, ip, seeds string, s *server) {
 	listen := []string{fmt.Sprintf("peers = \"%s:%d\"", ip, portAgents)}
-	rest := append(d.commonSettings(seeds), fmt.Sprintf("server = %q", s.proxy.address()), fmt.Sprintf("service = %q", s.service))
-	d.agents = append(d.agents, newProcess(d.t, dir, name, renderSettings("agent", name, ip, listen, rest)))
+	settings := append(d.commonSettings(seeds), fmt.Sprintf("server = %q", s.proxy.address()), fmt.Sprintf("service = %q", s.service))
+	d.agents = append(d.agents, newProcess(d.t, dir, name, renderSettings("agent", name, ip, listen, settings)))
 }
 
 func (d *testDeployment) commonSettings(seeds string) []string {
@@ -184,7 +184,7 @@
 	}
 }
 
-// putConfig writes the next configuration; each adds a route, which is returned.
+// putConfig writes the next configuration. Each configuration adds one route, whose name is returned.
 func (d *testDeployment) putConfig() (added string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -218,7 +218,7 @@
 	return added
 }
 
-// originAddress serves the origin at the first call.
+// originAddress returns the address of the origin, and starts to serve it on the first call.
 func (d *testDeployment) originAddress() string {
 	if d.originAddr == "" {
 		d.originAddr = d.serve(d.origin)
@@ -226,7 +226,7 @@
 	return d.originAddr
 }
 
-// publishVersion names the next version of the weights.
+// publishVersion publishes the next version of the weights.
 func (d *testDeployment) publishVersion() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -8,11 +8,11 @@
 	"github.com/cinderslip/cinderslip/platform/standin"
 )
 
-// fault is one kind of trouble: it begins, lasts for a time and ends before it returns.
-// Pick chooses what it hits.
-type fault func(d *testDeployment, pick int, lasts time.Duration)
+// fault injects one kind of fault and ends it before it returns. A fault that lasts for a time takes it from duration.
+// The argument pick selects the target.
+type fault func(d *testDeployment, pick int, duration time.Duration)
 
-// faults are drawn from; several run at once.
+// faults are the kinds of faults from which injectFaults chooses. Several can run at the same time.
 var faults = []fault{
 	onEntry((*process).kill), onAgent((*process).kill), onEntry((*process).roll), onAgent((*process).roll),
 	onEntry((*process).freeze), onAgent((*process).freeze), onEntry((*process).reload), onAgent((*process).reload), killAllEntries,
@@ -23,87 +23,91 @@
 }
 
 const (
-	// faultInterval is how often a fault begins, in the mean, in a world of faultBaseBoxes entry boxes; in larger ones as
-	// much more often. Each lasts up to maxFaultTime, so that they overlap.
+	// faultInterval is the mean time between two faults in a deployment with faultBaseBoxes entry boxes. It is
+	// proportionally shorter in larger deployments. Durations are drawn up to maxFaultTime, so that faults overlap.
 	faultInterval  = 250 * time.Millisecond
 	maxFaultTime   = 1500 * time.Millisecond
 	faultBaseBoxes = 3
 )
 
-// injectFaults draws faults for a time and waits until all have ended.
-func (d *testDeployment) injectFaults(lasts time.Duration) {
+// injectFaults injects random faults for a time and waits until all of them have ended.
+func (d *testDeployment) injectFaults(duration time.Duration) {
 	var running sync.WaitGroup
-	running.Go(func() { d.restartServers(lasts) })
-	running.Go(func() { d.sendServerSignals(lasts) })
-	running.Go(func() { d.varyLimits(lasts) })
-	for end := time.Now().Add(lasts); time.Now().Before(end); {
-		chosen := faults[d.random.IntN(len(faults))]
+	running.Go(func() { d.restartServers(duration) })
+	running.Go(func() { d.sendServerSignals(duration) })
+	running.Go(func() { d.varyLimits(duration) })
+	for end := time.Now().Add(duration); time.Now().Before(end); {
+		inject := faults[d.random.IntN(len(faults))]
 		pick, span := d.random.IntN(1<<16), time.Duration(d.random.Int64N(int64(maxFaultTime)))
-		running.Go(func() { chosen(d, pick, span) })
+		running.Go(func() { inject(d, pick, span) })
 		time.Sleep(time.Duration(d.random.Int64N(int64(2*faultInterval))) * faultBaseBoxes / time.Duration(max(faultBaseBoxes, *entryBoxCount)))
 	}
 	running.Wait()
 }
 
-// serverRestartInterval is how often a server starts again under its id, in the mean.
+// serverRestartInterval is the mean delay before each server restart.
 const serverRestartInterval = time.Second
 
-// restartServers lets servers start again under their ids for a time. Their entries tell of the
-// start before for a while, as those of servers do, or another writer has spoilt them.
-func (d *testDeployment) restartServers(lasts time.Duration) {
-	for end := time.Now().Add(lasts); time.Now().Before(end); {
+// restartServers restarts randomly chosen servers with the same ids for a time. For a while after a restart, the store
+// entry still describes the previous incarnation, as with real servers, or holds data of another writer.
+func (d *testDeployment) restartServers(duration time.Duration) {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(time.Duration(d.restartRand.Int64N(int64(2 * serverRestartInterval))))
 		s := d.servers[d.restartRand.IntN(len(d.servers))]
 		key := "servers/" + s.id
 		s.Restart(s.id)
-		if spoilt := d.restartRand.IntN(2 * len(foreignEntries)); spoilt < len(foreignEntries) {
-			d.store.Put(key, []byte(foreignEntries[spoilt]))
+		if index := d.restartRand.IntN(2 * len(foreignEntries)); index < len(foreignEntries) {
+			d.store.Put(key, []byte(foreignEntries[index]))
 		}
 		time.Sleep(time.Duration(d.restartRand.Int64N(int64(serverRestartInterval / 2))))
 		d.store.Put(key, s.Entry(s.service, s.proxy.address(), "hall-a", false))
 	}
 }
 
-// foreignEntries are such as other writers leave.
+// foreignEntries are invalid or foreign server entries that other writers leave in the store.
 var foreignEntries = []string{
 	`parked`, `{}`, `{"Service":"llm","Address":7}`, `{"Service":"llm","Address":"127.0.0.1:1","Zone":"hall-a","Slots":4,"State":"parked"}`,
 }
 
-func onEntry(hit func(p *process, lasts time.Duration)) fault {
-	return func(d *testDeployment, pick int, lasts time.Duration) { hit(d.entries[pick%len(d.entries)], lasts) }
+func onEntry(inject func(p *process, duration time.Duration)) fault {
+	return func(d *testDeployment, pick int, duration time.Duration) {
+		inject(d.entries[pick%len(d.entries)], duration)
+	}
 }
 
-func onAgent(hit func(p *process, lasts time.Duration)) fault {
-	return func(d *testDeployment, pick int, lasts time.Duration) { hit(d.agents[pick%len(d.agents)], lasts) }
+func onAgent(inject func(p *process, duration time.Duration)) fault {
+	return func(d *testDeployment, pick int, duration time.Duration) {
+		inject(d.agents[pick%len(d.agents)], duration)
+	}
 }
 
-// kill ends a process at once and starts it again later.
-func (p *process) kill(lasts time.Duration) { p.restart(syscall.SIGKILL, lasts) }
+// kill kills a process and restarts it later.
+func (p *process) kill(duration time.Duration) { p.restart(syscall.SIGKILL, duration) }
 
-// roll ends a process in a planned stop and starts it again.
-func (p *process) roll(lasts time.Duration) { p.restart(syscall.SIGTERM, lasts) }
+// roll stops a process with SIGTERM, as in a rolling update, and restarts it.
+func (p *process) roll(duration time.Duration) { p.restart(syscall.SIGTERM, duration) }
 
-// restart ends a process and starts it after a time, unless another fault is doing so.
-func (p *process) restart(signal syscall.Signal, lasts time.Duration) {
+// restart stops a process and starts it after a delay, unless another fault holds its lifecycle lock.
+func (p *process) restart(signal syscall.Signal, duration time.Duration) {
 	if !p.lifecycle.TryLock() {
 		return
 	}
 	defer p.lifecycle.Unlock()
 	p.stop(signal)
-	time.Sleep(lasts / 3)
+	time.Sleep(duration / 3)
 	if err := p.start(); err != nil {
 		p.addFinding(err.Error())
 	}
 }
 
-// freeze stands a process still for a time.
-func (p *process) freeze(lasts time.Duration) {
+// freeze pauses a process with SIGSTOP for a time.
+func (p *process) freeze(duration time.Duration) {
 	if !p.lifecycle.TryLock() {
 		return
 	}
 	defer p.lifecycle.Unlock()
 	p.signal(syscall.SIGSTOP)
-	time.Sleep(2 * lasts)
+	time.Sleep(2 * duration)
 	p.signal(syscall.SIGCONT)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,49 +116,50 @@
 
 func (p *process) reload(time.Duration) { p.signal(syscall.SIGHUP) }
 
-// killAllEntries kills every entry box at the same moment.
-func killAllEntries(d *testDeployment, _ int, lasts time.Duration) {
-	var all sync.WaitGroup
+// killAllEntries kills all entry boxes at the same time.
+func killAllEntries(d *testDeployment, _ int, duration time.Duration) {
+	var wg sync.WaitGroup
 	for _, p := range d.entries {
-		all.Go(func() { p.kill(lasts) })
+		wg.Go(func() { p.kill(duration) })
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 func storeFault(kind standin.Fault) fault {
-	return func(d *testDeployment, _ int, lasts time.Duration) {
+	return func(d *testDeployment, _ int, duration time.Duration) {
 		d.store.SetFault(kind)
-		time.Sleep(2 * lasts)
+		time.Sleep(2 * duration)
 		d.store.SetFault(standin.FaultNone)
 	}
 }
 
 func storeCompacts(d *testDeployment, _ int, _ time.Duration) { d.store.Compact() }
 
-// The harms of a link.
+// Network faults of a proxy, applied with its lock held.
 func blackhole(p *proxy)          { p.blackholeUp, p.blackholeDown = true, true }
 func blackholeResponses(p *proxy) { p.blackholeDown = true }
 func slow(p *proxy)               { p.delay = 80 * time.Millisecond }
 func refuse(p *proxy)             { p.refuse = true }
 
-func onStoreProxy(harm func(p *proxy)) fault {
-	return func(d *testDeployment, _ int, lasts time.Duration) { d.storeProxy.injectFault(harm, lasts) }
+func onStoreProxy(inject func(p *proxy)) fault {
+	return func(d *testDeployment, _ int, duration time.Duration) { d.storeProxy.injectFault(inject, duration) }
 }
 
-func onServerProxy(harm func(p *proxy)) fault {
-	return func(d *testDeployment, pick int, lasts time.Duration) {
-		d.servers[pick%len(d.servers)].proxy.injectFault(harm, lasts)
+func onServerProxy(inject func(p *proxy)) fault {
+	return func(d *testDeployment, pick int, duration time.Duration) {
+		d.servers[pick%len(d.servers)].proxy.injectFault(inject, duration)
 	}
 }
 
-// blackholeStore is an outage in which calls are lost without a word; connections stay open.
-func blackholeStore(d *testDeployment, _ int, lasts time.Duration) {
+// blackholeStore drops the traffic of all store connections for a time. The connections stay open, but calls on them
+// never get a response.
+func blackholeStore(d *testDeployment, _ int, duration time.Duration) {
 	d.storeProxy.set(blackhole)
-	time.Sleep(2 * lasts)
+	time.Sleep(2 * duration)
 	d.storeProxy.endBlackhole()
 }
 
-// blackholeStoreConns and blackholeServerConns let open connections go silent for good, while new ones work.
+// blackholeStoreConns and blackholeServerConns drop all further data of open connections, while new connections work.
 func blackholeStoreConns(d *testDeployment, _ int, _ time.Duration) {
 	d.storeProxy.blackholeOpenConns()
 }
@@ -163,9 +168,9 @@
 	d.servers[pick%len(d.servers)].proxy.blackholeOpenConns()
 }
 
-func (p *proxy) injectFault(harm func(p *proxy), lasts time.Duration) {
-	p.set(harm)
-	time.Sleep(lasts)
+func (p *proxy) injectFault(inject func(p *proxy), duration time.Duration) {
+	p.set(inject)
+	time.Sleep(duration)
 	p.clearFaults()
 }
 
@@ -173,24 +178,24 @@
 	d.servers[pick%len(d.servers)].proxy.reset()
 }
 
-func serverUnresponsive(d *testDeployment, pick int, lasts time.Duration) {
+func serverUnresponsive(d *testDeployment, pick int, duration time.Duration) {
 	s := d.servers[pick%len(d.servers)]
 	s.SetUnresponsive(true)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	s.SetUnresponsive(false)
 }
 
-func serverFails(d *testDeployment, pick int, lasts time.Duration) {
+func serverFails(d *testDeployment, pick int, duration time.Duration) {
 	s := d.servers[pick%len(d.servers)]
 	s.SetErrorStatus(500)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	s.SetErrorStatus(0)
 }
 
-func serverTruncates(d *testDeployment, pick int, lasts time.Duration) {
+func serverTruncates(d *testDeployment, pick int, duration time.Duration) {
 	s := d.servers[pick%len(d.servers)]
 	s.TruncateStreamAt(1 + pick%eventCount)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	s.TruncateStreamAt(0)
 }
 
--- a/internal/soak/load_test.go
+++ b/internal/soak/load_test.go
@@ -15,14 +15,14 @@
 
 const (
 	callerTimeout = 3 * time.Second
-	// failureBackoff is how long a caller waits after a request that was not served.
+	// failureBackoff is how long a caller waits after a request that failed.
 	failureBackoff = 20 * time.Millisecond
 )
 
-// routeKinds are the routes that callers use.
-var routeKinds = []string{"talk", "once", "look", "book"}
+// routeNames are the names of the routes that callers use. Requests on "once" and "book" may run at most once.
+var routeNames = []string{"talk", "once", "look", "book"}
 
-// load is the callers, and what they have seen.
+// load sends the requests of the callers and records their results.
 type load struct {
 	deployment *testDeployment
 	client     *http.Client
@@ -35,11 +35,11 @@
 	atMostOnce []string
 	problems   []string
 	counts     map[string]int
-	// requests are all requests by their ids; heard is when the head of an answer came in which its server says that
-	// it leaves.
+	// requests holds all requests by id. leavingReceived holds the time at which a caller received the header of a
+	// response whose server announced that it is leaving, by request id.
 	requests        map[string]sentRequest
 	leavingReceived map[string]time.Time
-	// limitReceived is when the header of an answer with a rate limit was received, by request id.
+	// limitReceived holds the time at which the header of a response with a rate limit was received, by request id.
 	limitReceived map[string]time.Time
 }
 
@@ -51,13 +51,13 @@
 	}
 }
 
-// run starts the callers. Each keeps its connections open until the process is gone.
+// run starts the callers. They share a client, which keeps connections open until the entry box closes them.
 func (l *load) run(callers int) {
 	for range callers {
 		l.wg.Go(func() {
 			for !l.stopped.Load() {
-				kind := routeKinds[rand.IntN(len(routeKinds))]
-				if !l.send(kind, l.deployment.callerAddresses[rand.IntN(len(l.deployment.callerAddresses))]) {
+				route := routeNames[rand.IntN(len(routeNames))]
+				if !l.send(route, l.deployment.callerAddresses[rand.IntN(len(l.deployment.callerAddresses))]) {
 					time.Sleep(failureBackoff)
 				}
 			}
@@ -65,21 +65,21 @@
 	}
 }
 
-// stop waits for the requests that are in progress.
+// stop stops the callers and waits for the requests in progress.
 func (l *load) stop() {
 	l.stopped.Store(true)
 	l.wg.Wait()
 }
 
-// awaitServing waits until every entry box answers every kind of request.
+// awaitServing waits until every entry box serves requests on every route.
 func (l *load) awaitServing(t *testing.T) {
 	t.Helper()
 	deadline := time.Now().Add(recoveryTimeout)
 	for _, entry := range l.deployment.callerAddresses {
-		for _, kind := range routeKinds {
-			for !l.send(kind, entry) {
+		for _, route := range routeNames {
+			for !l.send(route, entry) {
 				if time.Now().After(deadline) {
-					t.Errorf("%s does not answer %s", entry, kind)
+					t.Errorf("%s does not serve requests on route %s", entry, route)
 					return
 				}
 				time.Sleep(50 * time.Millisecond)
@@ -88,33 +88,33 @@
 	}
 }
 
-// awaitChange lets the store swallow calls for a while, and waits until a change that is
-// written at its return is in force on every entry box.
+// awaitChange drops the traffic of the store for a time, writes a configuration change once the store is reachable
+// again, and waits until the change is in effect on every entry box.
 func (l *load) awaitChange(t *testing.T) {
 	t.Helper()
-	silent := maxOutage * time.Duration(l.deployment.random.Int64N(100)) / 100
-	blackholeStore(l.deployment, 0, silent/2)
-	added := l.deployment.putConfig()
-	began := time.Now()
-	var last time.Duration
+	outage := maxOutage * time.Duration(l.deployment.random.Int64N(100)) / 100
+	blackholeStore(l.deployment, 0, outage/2)
+	route := l.deployment.putConfig()
+	start := time.Now()
+	var elapsed time.Duration
 	for _, entry := range l.deployment.callerAddresses {
-		for !l.hasRoute(entry, added) {
-			if time.Since(began) > recoveryTimeout {
-				t.Errorf("%s does not know route %s after the store was silent for %s", entry, added, silent)
+		for !l.hasRoute(entry, route) {
+			if time.Since(start) > recoveryTimeout {
+				t.Errorf("%s does not have route %s after the store was unreachable for %s", entry, route, outage)
 				return
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		last = time.Since(began)
+		elapsed = time.Since(start)
 	}
-	t.Logf("the store was silent for %s, a change was in force everywhere %s later", silent, last.Round(time.Millisecond))
-	if *maxChangeTime > 0 && last > *maxChangeTime {
-		t.Errorf("a change took %s, want %s at most", last, *maxChangeTime)
+	t.Logf("the store was unreachable for %s; a change took effect on all entry boxes %s later", outage, elapsed.Round(time.Millisecond))
+	if *maxChangeTime > 0 && elapsed > *maxChangeTime {
+		t.Errorf("a change took %s to take effect, want at most %s", elapsed, *maxChangeTime)
 	}
 }
 
-// maxOutage is the longest silence of the store before a change, longer than any wait
-// between two calls of it.
+// maxOutage is the upper bound of the store outage before a change. It is longer than any interval between two calls to
+// the store.
 const maxOutage = 6 * time.Second
 
 // hasRoute reports whether an entry box has a route.
@@ -136,22 +136,21 @@
 	return response.StatusCode != http.StatusNotFound
 }
 
-// send sends one request and checks what comes back. It reports whether the request was
-// answered with success.
-func (l *load) send(kind, entry string) bool {
+// send sends one request and checks the response. It reports whether the request succeeded.
+func (l *load) send(route, entry string) bool {
 	id := fmt.Sprintf("r-%d-%d", l.deployment.index, l.lastID.Add(1))
-	if kind == "once" || kind == "book" {
+	if route == "once" || route == "book" {
 		l.note(&l.atMostOnce, id)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+"/"+kind+"/1", strings.NewReader("draft"))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+"/"+route+"/1", strings.NewReader("draft"))
 	if err != nil {
 		l.problem("request %s: %v", id, err)
 		return false
 	}
 	request.Host = "a.example"
-	// Without this the client would send a request that it takes for repeatable twice.
+	// With GetBody the client could retry the request by itself and so send it twice.
 	request.GetBody = nil
 	request.Header.Set("X-Request-Id", id)
 	request.Header.Set("X-Deadline-Ms", fmt.Sprint(callerTimeout.Milliseconds()))
@@ -161,7 +160,7 @@
 	l.mu.Unlock()
 	response, err := l.client.Do(request)
 	if err != nil {
-		l.count("no answer")
+		l.count("no response")
 		return false
 	}
 	if response.Header.Get("Server-Leaving") != "" {
@@ -172,40 +171,40 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	return l.check(kind, id, response, string(body), err)
+	return l.check(route, id, response, string(body), err)
 }
 
-// check holds one answer against what was promised.
-func (l *load) check(kind, id string, response *http.Response, body string, err error) bool {
+// check checks one response and reports whether it is a complete success.
+func (l *load) check(route, id string, response *http.Response, body string, err error) bool {
 	l.count(fmt.Sprint(response.StatusCode))
 	switch response.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
 		l.note(&l.rejected, id)
 		if response.Header.Get("Retry-After") == "" {
-			l.problem("request %s was refused without a time to come back", id)
+			l.problem("request %s was rejected without Retry-After", id)
 		}
 		return false
 	case http.StatusOK:
 	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusGatewayTimeout:
 		return false
 	default:
-		l.problem("request %s (%s): status %d", id, kind, response.StatusCode)
+		l.problem("request %s (%s): status %d", id, route, response.StatusCode)
 		return false
 	}
 	if got := response.Header.Get("X-Request-Id"); got != id || response.Header.Get("X-Response-Seal") == "" {
-		l.problem("request %s: answer of %q with seal %q", id, got, response.Header.Get("X-Response-Seal"))
+		l.problem("request %s: got a response to %q with seal %q", id, got, response.Header.Get("X-Response-Seal"))
 	}
 	want := "answer to " + id
-	if kind == "talk" || kind == "once" {
+	if route == "talk" || route == "once" {
 		want = completeStream()
 	}
 	switch {
 	case err != nil && !strings.HasPrefix(want, body):
-		l.problem("request %s: broken answer %q is no beginning of %q", id, body, want)
+		l.problem("request %s: truncated response %q is not a prefix of %q", id, body, want)
 	case err == nil && body != want:
-		l.problem("request %s: answer %q, want %q", id, body, want)
+		l.problem("request %s: got response %q, want %q", id, body, want)
 	case err != nil:
-		l.count("visibly broken")
+		l.count("truncated with an error")
 	}
 	return err == nil
 }
@@ -234,7 +233,8 @@
 	l.note(&l.problems, fmt.Sprintf(format, args...))
 }
 
-// findings are the promises that were broken.
+// findings returns the problems seen by callers, and the requests that ran although they were rejected or ran twice
+// although they may run only once.
 func (l *load) findings() []string {
 	runs := make(map[string]int)
 	for _, s := range l.deployment.servers {
@@ -247,12 +247,12 @@
 	findings := append([]string(nil), l.problems...)
 	for _, id := range l.atMostOnce {
 		if runs[id] > 1 {
-			findings = append(findings, fmt.Sprintf("request %s may run once and ran %d times", id, runs[id]))
+			findings = append(findings, fmt.Sprintf("request %s may run at most once and ran %d times", id, runs[id]))
 		}
 	}
 	for _, id := range l.rejected {
 		if runs[id] > 0 {
-			findings = append(findings, fmt.Sprintf("request %s was refused as not run and ran %d times", id, runs[id]))
+			findings = append(findings, fmt.Sprintf("request %s was rejected as not executed and ran %d times", id, runs[id]))
 		}
 	}
 	return findings
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -12,34 +12,34 @@
 	"time"
 )
 
-// process is one run of the program after another, with the same settings.
+// process is a daemon that can be stopped and restarted with the same settings.
 type process struct {
 	name   string
 	config string
 	log    string
 
-	// lifecycle is held by the fault that ends, freezes or starts the process.
+	// lifecycle is held by a fault while it stops, freezes or restarts the process.
 	lifecycle sync.Mutex
 
 	mu            sync.Mutex
 	cmd           *exec.Cmd
 	exited        chan struct{}
-	stopRequested bool // whether the soak ended the run itself
+	stopRequested bool // whether the test sent SIGTERM or SIGKILL
 	problems      []string
-	// startedAt are when the runs began.
+	// startedAt holds the time of each start.
 	startedAt []time.Time
-	// resumedAt are when it went on after it had stood still.
+	// resumedAt holds the times at which the process continued after a freeze.
 	resumedAt []time.Time
 }
 
-// renderSettings fills the settings of one role, as the platform does.
-func renderSettings(role, name, ip string, listen, rest []string) string {
+// renderSettings returns the settings file of a process with the given role, as the platform writes it.
+func renderSettings(role, name, ip string, listen, extra []string) string {
 	lines := []string{
 		`mode = "direct"`, fmt.Sprintf("role = %q", role), fmt.Sprintf("box = %q", name), `region = "r"`, `failure_domain = "hall-a"`,
 		"[listen]", fmt.Sprintf("metrics = %q", ip+":0"),
 	}
 	lines = append(lines, listen...)
-	lines = append(lines, rest...)
+	lines = append(lines, extra...)
 	lines = append(lines, "[direct.domains]", `hall-a = "r"`, "[stop]", `grace = "5s"`)
 	return strings.Join(lines, "\n") + "\n"
 }
@@ -53,7 +53,7 @@
 	return p
 }
 
-// start runs the program. Its log goes on where that of the run before ended.
+// start runs the daemon and appends its output to the log of earlier runs.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,23 +66,23 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	ended := make(chan struct{})
-	p.cmd, p.exited, p.stopRequested = cmd, ended, false
+	exited := make(chan struct{})
+	p.cmd, p.exited, p.stopRequested = cmd, exited, false
 	p.startedAt = append(p.startedAt, time.Now())
 	go func() {
 		err := cmd.Wait()
 		_ = log.Close()
 		p.mu.Lock()
 		if !p.stopRequested {
-			p.problems = append(p.problems, fmt.Sprintf("%s ended by itself: %v", p.name, err))
+			p.problems = append(p.problems, fmt.Sprintf("%s exited unexpectedly: %v", p.name, err))
 		}
 		p.mu.Unlock()
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
 
-// signal sends a signal to the run that there is.
+// signal sends a signal to the process of the latest start, if any.
 func (p *process) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,34 +93,34 @@
 	_ = p.cmd.Process.Signal(signal)
 }
 
-// stop ends the run by a signal, and kills it if it outlasts its grace.
+// stop sends a signal and waits for the process to exit. It kills the process after stopTimeout.
 func (p *process) stop(signal syscall.Signal) {
 	p.signal(signal)
 	p.mu.Lock()
-	ended := p.exited
+	exited := p.exited
 	p.mu.Unlock()
-	if ended == nil {
+	if exited == nil {
 		return
 	}
 	select {
-	case <-ended:
+	case <-exited:
 	case <-time.After(stopTimeout):
 		p.signal(syscall.SIGKILL)
-		<-ended
+		<-exited
 	}
 }
 
-// stopTimeout is the grace of a planned stop, with room for a busy machine.
+// stopTimeout is longer than the 5 s grace period in the settings, as a planned stop takes longer on a busy machine.
 const stopTimeout = 8 * time.Second
 
-// addFinding notes a finding.
+// addFinding records a problem of the process.
 func (p *process) addFinding(finding string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.problems = append(p.problems, p.name+": "+finding)
 }
 
-// findings are the runs that ended by themselves.
+// findings returns the unexpected exits and other problems of the process.
 func (p *process) findings() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -8,35 +8,34 @@
 	"time"
 )
 
-// proxy passes TCP connections on to a target and harms them.
+// proxy forwards TCP connections to a target and injects network faults.
 type proxy struct {
 	listener net.Listener
 	target   string
 
 	mu sync.Mutex
-	// delay holds up each block in both directions.
+	// delay is added before each block is forwarded, in both directions.
 	delay time.Duration
-	// blackholeUp and blackholeDown swallow what goes to the target and what comes from it;
-	// connections stay open.
+	// blackholeUp and blackholeDown drop the data to and from the target. Connections stay open.
 	blackholeUp, blackholeDown bool
-	// refuse closes new connections at once.
+	// refuse closes new connections immediately.
 	refuse bool
 	conns  map[net.Conn]*connState
 }
 
-// connState is one connection that passes.
+// connState is the state of one forwarded connection.
 type connState struct {
-	// blackholed swallows what comes in from either side, for good.
+	// blackholed drops all further data in both directions until the connection is closed.
 	blackholed bool
 }
 
-// newProxy listens at an address.
+// newProxy returns a proxy that listens on address and forwards to target.
 func newProxy(address, target string) (*proxy, error) {
 	p := &proxy{target: target, conns: make(map[net.Conn]*connState)}
 	return p, p.listen(address)
 }
 
-// listen begins to listen at an address.
+// listen starts to accept connections on address.
 func (p *proxy) listen(address string) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp", address)
@@ -50,7 +49,7 @@
 	return nil
 }
 
-// close stops listening and breaks all connections off, as a process does that crashes.
+// close stops listening and resets all connections, like a crash of the process behind the proxy.
 func (p *proxy) close() {
 	p.mu.Lock()
 	_ = p.listener.Close()
@@ -66,16 +65,16 @@
 
 func (p *proxy) accept(listener net.Listener) {
 	for {
-		near, err := listener.Accept()
+		client, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.forward(near)
+		go p.forward(client)
 	}
 }
 
-func (p *proxy) forward(near net.Conn) {
-	defer func() { _ = near.Close() }()
+func (p *proxy) forward(client net.Conn) {
+	defer func() { _ = client.Close() }()
 	p.mu.Lock()
 	refused := p.refuse
 	p.mu.Unlock()
@@ -83,38 +82,38 @@
 		return
 	}
 	var dialer net.Dialer
-	far, err := dialer.DialContext(context.Background(), "tcp", p.target)
+	server, err := dialer.DialContext(context.Background(), "tcp", p.target)
 	if err != nil {
 		return
 	}
-	defer func() { _ = far.Close() }()
-	passing := new(connState)
+	defer func() { _ = server.Close() }()
+	state := new(connState)
 	p.mu.Lock()
-	p.conns[near] = passing
+	p.conns[client] = state
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		delete(p.conns, near)
+		delete(p.conns, client)
 		p.mu.Unlock()
 	}()
 	done := make(chan struct{}, 2)
-	go p.copy(far, near, func() bool { return p.blackholeUp || passing.blackholed }, done)
-	go p.copy(near, far, func() bool { return p.blackholeDown || passing.blackholed }, done)
+	go p.copy(server, client, func() bool { return p.blackholeUp || state.blackholed }, done)
+	go p.copy(client, server, func() bool { return p.blackholeDown || state.blackholed }, done)
 	<-done
 }
 
-// copy passes blocks on until one side ends.
-func (p *proxy) copy(to io.Writer, from io.Reader, silent func() bool, done chan<- struct{}) {
+// copy forwards data until either side closes its connection.
+func (p *proxy) copy(to io.Writer, from io.Reader, blackholed func() bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
 		p.mu.Lock()
-		delay, swallow := p.delay, silent()
+		delay, drop := p.delay, blackholed()
 		p.mu.Unlock()
 		time.Sleep(delay)
-		if n > 0 && !swallow {
-			if _, problem := to.Write(buffer[:n]); problem != nil {
+		if n > 0 && !drop {
+			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				return
 			}
 		}
@@ -124,7 +123,7 @@
 	}
 }
 
-// reset breaks all connections off without a proper end.
+// reset aborts all connections with a TCP reset.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,22 +135,22 @@
 	}
 }
 
-// blackholeOpenConns lets the connections that are open go silent for good; new ones pass.
+// blackholeOpenConns drops all further data of the connections that are open. New connections work.
 func (p *proxy) blackholeOpenConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.blackholeOpenConnsLocked()
 }
 
-// blackholeOpenConnsLocked is blackholeOpenConns with the lock held.
+// blackholeOpenConnsLocked is blackholeOpenConns for callers that hold the lock.
 func (p *proxy) blackholeOpenConnsLocked() {
-	for _, passing := range p.conns {
-		passing.blackholed = true
+	for _, state := range p.conns {
+		state.blackholed = true
 	}
 }
 
-// endBlackhole ends a silence in which calls were swallowed: they get no answer any more, and
-// their connections stay open.
+// endBlackhole forwards new connections again. Connections that are open stay open but blackholed, so that calls on
+// them never get a response.
 func (p *proxy) endBlackhole() {
 	p.set(func(p *proxy) {
 		p.blackholeOpenConnsLocked()
@@ -159,14 +158,14 @@
 	})
 }
 
-// set changes the harm.
+// set changes the injected faults while it holds the lock.
 func (p *proxy) set(change func(p *proxy)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(p)
 }
 
-// clearFaults ends all harm. What was swallowed is lost, so open connections end too.
+// clearFaults removes all faults and resets open connections, because dropped data leaves their streams incomplete.
 func (p *proxy) clearFaults() {
 	p.set(func(p *proxy) { p.delay, p.blackholeUp, p.blackholeDown, p.refuse = 0, false, false, false })
 	p.reset()
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -10,27 +10,29 @@
 	"github.com/cinderslip/cinderslip/platform/standin"
 )
 
-// What backend servers say of themselves in their answers: that they leave, and for how long they want rest. Both
-// promises are judged by the order of events alone: a caller asks after the entry box has heard the word, and the
-// request reaches the server all the same. A box that was started since has forgotten it and is excused.
+// Backend servers signal in response headers that they are leaving, or how long clients must back off. These checks
+// fail if a caller sends a request after its entry box received such a signal and the request still reaches the
+// server. They compare only the order of events. Requests through a box that was restarted after the signal are not
+// counted, because the box has lost it.
 
 const (
-	// signalInterval is how often a server says something, in the mean.
+	// signalInterval is the mean delay before each signal of a randomly chosen server.
 	signalInterval = 500 * time.Millisecond
-	// minUptimeBeforeLeaving is for how long a server is there at least before it leaves: of one that has just started again
-	// a box may know the start before only, and an answer does not tell starts.
+	// minUptimeBeforeLeaving is the minimum uptime of a server before it announces that it is leaving. Just after a
+	// restart, a box may know only the previous incarnation, and a response does not identify its incarnation.
 	minUptimeBeforeLeaving = 2500 * time.Millisecond
-	// maxRequestsDuringBackoff is how many requests may come within a rest: a box that learns of a start of the server asks once.
+	// maxRequestsDuringBackoff is how many requests a server may receive from a box during a backoff. A box that
+	// detects a restart of the server sends one probe.
 	maxRequestsDuringBackoff = 2
 )
 
-// retryAfterValues are such as servers may write.
+// retryAfterValues are valid and invalid values of the Retry-After header.
 var retryAfterValues = []string{"0.4", "1", "2.5", "1.5", "0", "-1", "NaN", "soon"}
 
-// sendServerSignals lets servers say that they leave, or ask for rest, for a time. A server that leaves ends later and
-// starts again, before or after its entry says so.
-func (d *testDeployment) sendServerSignals(lasts time.Duration) {
-	for end := time.Now().Add(lasts); time.Now().Before(end); {
+// sendServerSignals makes randomly chosen servers signal that they are leaving or request a backoff, for a time. A
+// leaving server restarts later, before or after its store entry shows that it is leaving.
+func (d *testDeployment) sendServerSignals(duration time.Duration) {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(time.Duration(d.signalRand.Int64N(int64(2 * signalInterval))))
 		s := d.servers[d.signalRand.IntN(len(d.servers))]
 		if d.signalRand.IntN(2) == 0 {
@@ -41,13 +43,13 @@
 		}
 		if s.SetLeavingAfterUptime(minUptimeBeforeLeaving) && d.signalRand.IntN(2) == 0 {
 			time.Sleep(time.Duration(d.signalRand.Int64N(int64(signalInterval))))
-			// It may have started again meanwhile, and that start does not leave.
+			// The server may have restarted in the meantime, and the new incarnation is not leaving.
 			d.store.Put("servers/"+s.id, s.Entry(s.service, s.proxy.address(), "hall-a", s.IsLeaving()))
 		}
 	}
 }
 
-// clearSignals lets every server that leaves start again, and take what comes.
+// clearSignals ends the backoff of all servers and restarts those that are leaving.
 func (d *testDeployment) clearSignals() {
 	for _, s := range d.servers {
 		s.SetRetryAfter("")
@@ -58,88 +60,92 @@
 	}
 }
 
-// sentRequest is one request of a caller.
+// sentRequest is the entry box and time of one request of a caller.
 type sentRequest struct {
 	entry string
 	sent  time.Time
 }
 
-// leavingKey is what an entry box has heard of one start of a server.
+// leavingKey identifies one incarnation of a server as seen by an entry box.
 type leavingKey struct {
 	entry       string
 	startedAtMs int64
 }
 
-// recordLeaving notes that a caller has got an answer of a server that leaves: its entry box has heard the word.
+// recordLeaving records that a caller received a response of a leaving server. The entry box has received the signal by
+// then.
 func (l *load) recordLeaving(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leavingReceived[id] = time.Now()
 }
 
-// signalFindings are the requests that reached a server against its word.
+// signalFindings reports the requests that reached a server after it signaled that it is leaving, and the servers that
+// received too many requests during a backoff.
 func (l *load) signalFindings() (findings []string) {
-	rests := make(map[string]time.Time)
+	backoffs := make(map[string]time.Time)
 	for _, p := range l.deployment.entries {
-		p.readBackoffs(rests)
+		p.readBackoffs(backoffs)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.deployment.servers {
-		visits := s.ReceivedRequests()
-		findings = append(findings, l.sentToLeaving(s.id, visits)...)
-		findings = append(findings, l.sentDuringBackoff(s.id, visits, rests)...)
+		attempts := s.ReceivedRequests()
+		findings = append(findings, l.sentToLeaving(s.id, attempts)...)
+		findings = append(findings, l.sentDuringBackoff(s.id, attempts, backoffs)...)
 	}
 	return findings
 }
 
-// sentToLeaving finds requests that reached a server that had said that it leaves. The lock must be held.
-func (l *load) sentToLeaving(server string, visits []standin.ReceivedRequest) (findings []string) {
-	first := make(map[leavingKey]time.Time)
-	for _, visit := range visits {
-		heard, ok := l.leavingReceived[visit.RequestID]
-		about := leavingKey{l.requests[visit.RequestID].entry, visit.StartedAtMs}
-		if known := first[about]; ok && visit.Leaving && (known.IsZero() || heard.Before(known)) {
-			first[about] = heard
+// sentToLeaving reports the requests that reached a server after it announced that it is leaving. The caller must hold
+// the lock.
+func (l *load) sentToLeaving(server string, attempts []standin.ReceivedRequest) (findings []string) {
+	firstSignal := make(map[leavingKey]time.Time)
+	for _, attempt := range attempts {
+		signaledAt, ok := l.leavingReceived[attempt.RequestID]
+		key := leavingKey{l.requests[attempt.RequestID].entry, attempt.StartedAtMs}
+		if known := firstSignal[key]; ok && attempt.Leaving && (known.IsZero() || signaledAt.Before(known)) {
+			firstSignal[key] = signaledAt
 		}
 	}
-	for _, visit := range visits {
-		ask := l.requests[visit.RequestID]
-		heard := first[leavingKey{ask.entry, visit.StartedAtMs}]
-		if !heard.IsZero() && ask.sent.After(heard) && !l.deployment.entryStartedBetween(ask.entry, heard, visit.At) {
-			findings = append(findings, fmt.Sprintf("request %s reached %s %s after %s had passed on that it leaves",
-				visit.RequestID, server, visit.At.Sub(heard), ask.entry))
+	for _, attempt := range attempts {
+		request := l.requests[attempt.RequestID]
+		signaledAt := firstSignal[leavingKey{request.entry, attempt.StartedAtMs}]
+		if !signaledAt.IsZero() && request.sent.After(signaledAt) && !l.deployment.entryStartedBetween(request.entry, signaledAt, attempt.At) {
+			findings = append(findings, fmt.Sprintf("request %s reached %s %s after %s had forwarded its announcement that it is leaving",
+				attempt.RequestID, server, attempt.At.Sub(signaledAt), request.entry))
 		}
 	}
 	return findings
 }
 
-// sentDuringBackoff finds rests that a server asked for and did not get. The lock must be held.
-func (l *load) sentDuringBackoff(server string, visits []standin.ReceivedRequest, rests map[string]time.Time) (findings []string) {
-	for _, turned := range visits {
-		heard, ok := rests[turned.RequestID]
-		if !ok || turned.BackoffUntil.IsZero() {
+// sentDuringBackoff reports the backoffs of a server during which it received too many requests. The caller must hold
+// the lock.
+func (l *load) sentDuringBackoff(server string, attempts []standin.ReceivedRequest, backoffs map[string]time.Time) (findings []string) {
+	for _, rejected := range attempts {
+		signaledAt, ok := backoffs[rejected.RequestID]
+		if !ok || rejected.BackoffUntil.IsZero() {
 			continue
 		}
-		entry, came := l.requests[turned.RequestID].entry, 0
-		for _, visit := range visits {
-			ask := l.requests[visit.RequestID]
-			if ask.entry == entry && visit.StartedAtMs == turned.StartedAtMs && ask.sent.After(heard) && visit.At.Before(turned.BackoffUntil) &&
-				!l.deployment.entryStartedBetween(entry, heard, visit.At) {
-				came++
+		entry, count := l.requests[rejected.RequestID].entry, 0
+		for _, attempt := range attempts {
+			request := l.requests[attempt.RequestID]
+			if request.entry == entry && attempt.StartedAtMs == rejected.StartedAtMs && request.sent.After(signaledAt) && attempt.At.Before(rejected.BackoffUntil) &&
+				!l.deployment.entryStartedBetween(entry, signaledAt, attempt.At) {
+				count++
 			}
 		}
-		if came > maxRequestsDuringBackoff {
-			findings = append(findings, fmt.Sprintf("%s asked %s for rest by its answer to %s and got %d requests", server, entry, turned.RequestID, came))
+		if count > maxRequestsDuringBackoff {
+			findings = append(findings, fmt.Sprintf("%s requested a backoff from %s in its response to %s and received %d requests during it", server, entry, rejected.RequestID, count))
 		}
 	}
 	return findings
 }
 
-// entryStartedBetween reports whether an entry box was started between two moments.
+// entryStartedBetween reports whether an entry box was started between two times.
 func (d *testDeployment) entryStartedBetween(entry string, from, to time.Time) bool {
-	for i, callers := range d.callerAddresses {
-		if callers == entry {
+	for i, address := range d.callerAddresses {
+		if address == entry {
 			return d.entries[i].startedBetween(from, to)
 		}
 	}
@@ -157,11 +163,11 @@
 	return false
 }
 
-// backoffLine is a line of the log by which an entry box has heard that a server wants rest.
+// backoffLine matches the log line of an entry box on a backoff that a server requested.
 var backoffLine = regexp.MustCompile(`^time=(\S+) .*event="server asks for rest".* request=(\S+)`)
 
-// readBackoffs adds when the box heard of each rest that the answer to a request asked for.
-func (p *process) readBackoffs(rests map[string]time.Time) {
+// readBackoffs reads from the log when the box received each backoff, and adds the times to backoffs by request id.
+func (p *process) readBackoffs(backoffs map[string]time.Time) {
 	file, err := os.Open(p.log)
 	if err != nil {
 		p.addFinding(err.Error())
@@ -173,11 +179,11 @@
 		if found == nil {
 			continue
 		}
-		heard, err := time.Parse(time.RFC3339Nano, found[1])
+		signaledAt, err := time.Parse(time.RFC3339Nano, found[1])
 		if err != nil {
 			p.addFinding(err.Error())
 			continue
 		}
-		rests[found[2]] = heard
+		backoffs[found[2]] = signaledAt
 	}
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -1,14 +1,13 @@
-// Package soak runs entry boxes and agents as processes of their own and injects faults
-// from outside: connections that are delayed, reset, cut one way or silenced, processes
-// that are stopped, killed, frozen and restarted, a store and servers that misbehave,
-// versions and configurations named meanwhile. While it runs it checks what callers and
-// backend servers see.
+// Package soak runs entry boxes and agents as separate processes and injects faults from outside. It delays, resets
+// and blackholes connections in one or both directions. It stops, kills, freezes and restarts processes, makes the
+// store, the origin and the backend servers fail, and publishes weights and configurations at the same time. It checks
+// what callers and backend servers observe.
 //
 // # Usage
 //
-//	go test ./internal/soak                                  # the seeds of CI and those that ever failed
-//	go test ./internal/soak -soak.seeds 50 -soak.from 1000   # fifty others
-//	go test ./internal/soak -soak.change 2s                  # judge also how late a change comes
+//	go test ./internal/soak                                  # the CI seeds and all seeds that failed before
+//	go test ./internal/soak -soak.seeds 50 -soak.from 1000   # fifty other seeds
+//	go test ./internal/soak -soak.change 2s                  # also limit how long a change takes
 //	go test ./internal/soak -soak.entries 40 -soak.models 80 # two cells, 120 processes
 package soak
 
@@ -27,20 +26,20 @@
 )
 
 var (
-	seedCount = flag.Int("soak.seeds", 2, "how many seeds are run")
+	seedCount = flag.Int("soak.seeds", 2, "number of seeds to run")
 	firstSeed = flag.Uint64("soak.from", 1, "the first seed")
-	faultTime = flag.Duration("soak.for", 4*time.Second, "for how long each seed injects faults")
-	// Larger worlds than CI's are for runs by hand: each entry box and each model server is a process, at most 49
-	// and 99 of them.
-	entryBoxCount    = flag.Int("soak.entries", 3, "how many entry boxes there are")
-	modelServerCount = flag.Int("soak.models", 3, "how many model servers there are, each with an agent")
-	plainServerCount = flag.Int("soak.plains", 2, "how many servers there are without a model")
-	callerCount      = flag.Int("soak.callers", 6, "how many callers send one request after the other")
-	// maxChangeTime is not judged by default, as a busy machine must not decide a verdict.
-	maxChangeTime = flag.Duration("soak.change", 0, "in which time a change must be in force on every entry box; 0: any")
+	faultTime = flag.Duration("soak.for", 4*time.Second, "duration of fault injection for each seed")
+	// Larger deployments than those of CI are for manual runs. Each entry box and each agent of a model server is a
+	// process. The address scheme allows at most 49 entry boxes and 99 model servers.
+	entryBoxCount    = flag.Int("soak.entries", 3, "number of entry boxes")
+	modelServerCount = flag.Int("soak.models", 3, "number of model servers, each with an agent")
+	plainServerCount = flag.Int("soak.plains", 2, "number of servers without a model")
+	callerCount      = flag.Int("soak.callers", 6, "number of callers that send requests sequentially")
+	// maxChangeTime is not checked by default, because the result would depend on the load of the machine.
+	maxChangeTime = flag.Duration("soak.change", 0, "time limit for a change to take effect on every entry box; 0 means no limit")
 )
 
-// daemonPath is the daemon that TestMain built.
+// daemonPath is the path of the daemon binary that TestMain builds.
 var daemonPath string
 
 func TestMain(m *testing.M) {
@@ -59,24 +58,24 @@
 	os.Exit(code)
 }
 
-// recoveryTimeout bounds the wait until everything works again after the faults; it never
-// judges speed.
+// recoveryTimeout limits the wait for recovery after faults. It only ends the test and is no performance requirement.
 const recoveryTimeout = 40 * time.Second
 
 func TestPromisesHoldUnderFaults(t *testing.T) {
-	all := regressionSeeds(t)
+	seeds := regressionSeeds(t)
 	for i := range *seedCount {
-		all = append(all, *firstSeed+uint64(i))
+		seeds = append(seeds, *firstSeed+uint64(i))
 	}
-	for number, seed := range all {
+	for index, seed := range seeds {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			t.Parallel()
-			runSeed(t, seed, number)
+			runSeed(t, seed, index)
 		})
 	}
 }
 
-// regressionSeeds are the seeds that ever failed, each with a line on the cause.
+// regressionSeeds reads the seeds that failed before from testdata/regressions.txt. Each line holds a seed and the
+// cause of its failure.
 func regressionSeeds(t *testing.T) []uint64 {
 	t.Helper()
 	file, err := os.Open("testdata/regressions.txt")
@@ -86,16 +85,16 @@
 	defer func() { _ = file.Close() }()
 	var found []uint64
 	for scanner := bufio.NewScanner(file); scanner.Scan(); {
-		word, _, _ := strings.Cut(scanner.Text(), " ")
-		if seed, err := strconv.ParseUint(word, 10, 64); err == nil {
+		field, _, _ := strings.Cut(scanner.Text(), " ")
+		if seed, err := strconv.ParseUint(field, 10, 64); err == nil {
 			found = append(found, seed)
 		}
 	}
 	return found
 }
 
-func runSeed(t *testing.T, seed uint64, number int) {
-	d := newTestDeployment(t, seed, number)
+func runSeed(t *testing.T, seed uint64, index int) {
+	d := newTestDeployment(t, seed, index)
 	for _, p := range d.processes() {
 		if err := p.start(); err != nil {
 			t.Fatal(err)
@@ -132,7 +131,7 @@
 	}
 }
 
-// saveLogs copies the logs of a failed seed out of the test's own folder.
+// saveLogs copies the logs of a failed seed to a directory that remains after the test.
 func (d *testDeployment) saveLogs(seed uint64) {
 	dir := filepath.Join(os.TempDir(), fmt.Sprintf("soak-seed-%d", seed))
 	if err := os.MkdirAll(dir, 0o750); err != nil {
@@ -151,13 +150,13 @@
 	d.t.Logf("logs are in %s", dir)
 }
 
-// awaitNewestVersion waits until every model server holds the newest weights.
+// awaitNewestVersion waits until every model server has loaded the newest weights.
 func (d *testDeployment) awaitNewestVersion() {
 	deadline := time.Now().Add(recoveryTimeout)
 	for _, s := range d.servers {
 		for s.service == "llm" && s.Version() != uint64(d.newestVersion) {
 			if time.Now().After(deadline) {
-				d.t.Errorf("%s holds version %d after the faults have ended, want %d", s.proxy.address(), s.Version(), d.newestVersion)
+				d.t.Errorf("%s has version %d loaded after all faults ended, want %d", s.proxy.address(), s.Version(), d.newestVersion)
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -165,7 +164,8 @@
 	}
 }
 
-// clearFaults heals all links and starts what is not running.
+// clearFaults ends the faults of the store, proxies and servers, resumes frozen processes and ends leaving and backoff
+// signals.
 func (d *testDeployment) clearFaults() {
 	d.store.SetFault("")
 	for _, p := range d.proxies {
