--- a/internal/scenario/await_test.go
+++ b/internal/scenario/await_test.go
@@ -17,28 +17,28 @@
 var statusClient = &http.Client{Timeout: 2 * time.Second}
 
 func status(p *process) (daemon.StatusResponse, error) {
-	var answer daemon.StatusResponse
+	var st daemon.StatusResponse
 	response, err := statusClient.Get("http://" + p.operators + "/v1/status")
 	if err != nil {
-		return answer, err
+		return st, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	return answer, json.NewDecoder(response.Body).Decode(&answer)
+	return st, json.NewDecoder(response.Body).Decode(&st)
 }
 
-// awaitAllEntries waits until a check holds at every entry box that runs.
+// awaitAllEntries waits until a check succeeds for the status of every running entry box.
 func (d *testDeployment) awaitAllEntries(ts *testscript.TestScript, what string, check func(daemon.StatusResponse) string) {
 	await(ts, what, func() string {
 		entries := d.entries()
 		if len(entries) == 0 {
-			return "no entry box runs"
+			return "no entry box is running"
 		}
 		for _, p := range entries {
-			answer, err := status(p)
+			st, err := status(p)
 			if err != nil {
 				return err.Error()
 			}
-			if reason := check(answer); reason != "" {
+			if reason := check(st); reason != "" {
 				return p.name + ": " + reason
 			}
 		}
@@ -46,15 +46,14 @@
 	})
 }
 
-// await-live MODEL VERSION N waits until every entry box knows N boxes that are
-// up and have the version live.
+// await-live MODEL VERSION N waits until every entry box knows exactly N boxes that are up and have the version live.
 func awaitLive(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 3)
 	want, err := strconv.Atoi(args[2])
 	ts.Check(err)
-	d.awaitAllEntries(ts, fmt.Sprint("await-live ", args), func(answer daemon.StatusResponse) string {
+	d.awaitAllEntries(ts, fmt.Sprint("await-live ", args), func(st daemon.StatusResponse) string {
 		live := 0
-		for _, record := range answer.Boxes {
+		for _, record := range st.Boxes {
 			if record.IsLive(table.Model(args[0]), table.ModelVersion(args[1])) {
 				live++
 			}
@@ -66,12 +65,11 @@
 	})
 }
 
-// await-serving GROUP MODEL VERSION waits until every entry box answers the
-// group with the version.
+// await-serving GROUP MODEL VERSION waits until every entry box serves the version to the group.
 func awaitServing(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 3)
-	d.awaitAllEntries(ts, fmt.Sprint("await-serving ", args), func(answer daemon.StatusResponse) string {
-		for _, row := range answer.Rows {
+	d.awaitAllEntries(ts, fmt.Sprint("await-serving ", args), func(st daemon.StatusResponse) string {
+		for _, row := range st.Rows {
 			if string(row.Group) == args[0] && string(row.Model) == args[1] {
 				if string(row.Plan.Serving) == args[2] {
 					return ""
@@ -79,17 +77,17 @@
 				return fmt.Sprintf("serving %q, %s", row.Plan.Serving, row.Plan.WaitReason)
 			}
 		}
-		return "no such row"
+		return "no row for the group and model"
 	})
 }
 
-// await-status BOX STATUS waits until every entry box knows the status; the
-// status none means that the box is forgotten.
+// await-status BOX STATUS waits until every entry box reports the status of the box. The status none means that the
+// box is no longer known.
 func awaitStatus(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 2)
-	d.awaitAllEntries(ts, fmt.Sprint("await-status ", args), func(answer daemon.StatusResponse) string {
+	d.awaitAllEntries(ts, fmt.Sprint("await-status ", args), func(st daemon.StatusResponse) string {
 		got := "none"
-		for _, record := range answer.Boxes {
+		for _, record := range st.Boxes {
 			if string(record.Box) == args[0] {
 				got = string(record.Status)
 			}
@@ -101,13 +99,13 @@
 	})
 }
 
-// await-fetch BOX waits until a box is in the middle of a fetch.
+// await-fetch BOX waits until every entry box reports that the box is fetching weights and has at least one chunk.
 func awaitFetch(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 1)
-	d.awaitAllEntries(ts, fmt.Sprint("await-fetch ", args), func(answer daemon.StatusResponse) string {
-		for _, record := range answer.Boxes {
-			for _, held := range record.Copies {
-				if string(record.Box) == args[0] && held.Phase == member.PhaseFetching && held.HeldChunks > 0 {
+	d.awaitAllEntries(ts, fmt.Sprint("await-fetch ", args), func(st daemon.StatusResponse) string {
+		for _, record := range st.Boxes {
+			for _, replica := range record.Copies {
+				if string(record.Box) == args[0] && replica.Phase == member.PhaseFetching && replica.HeldChunks > 0 {
 					return ""
 				}
 			}
@@ -116,24 +114,24 @@
 	})
 }
 
-// await-table REVISION waits until the revision is in force everywhere.
+// await-table REVISION waits until every entry box has the table and a plan of that revision or a later one.
 func awaitTable(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 1)
 	want, err := strconv.ParseUint(args[0], 10, 64)
 	ts.Check(err)
-	d.awaitAllEntries(ts, fmt.Sprint("await-table ", args), func(answer daemon.StatusResponse) string {
-		if answer.Table < table.Revision(want) || answer.Plan.Table < table.Revision(want) {
-			return fmt.Sprintf("table %d, plan for table %d", answer.Table, answer.Plan.Table)
+	d.awaitAllEntries(ts, fmt.Sprint("await-table ", args), func(st daemon.StatusResponse) string {
+		if st.Table < table.Revision(want) || st.Plan.Table < table.Revision(want) {
+			return fmt.Sprintf("table %d, plan for table %d", st.Table, st.Plan.Table)
 		}
 		return ""
 	})
 }
 
-// await-plan newer waits until a plan of a later epoch than that of the planner
-// last frozen is in force.
+// await-plan newer waits until every running entry box, except the last frozen planner, has a plan of a later epoch
+// than that planner's.
 func awaitPlan(d *testDeployment, ts *testscript.TestScript, args []string) {
 	if len(args) != 1 || args[0] != "newer" {
-		ts.Fatalf("want newer")
+		ts.Fatalf("await-plan: want the argument newer")
 	}
 	before, err := strconv.ParseUint(ts.Getenv("FROZEN_EPOCH"), 10, 64)
 	ts.Check(err)
@@ -143,26 +141,26 @@
 			if p.name == frozen {
 				continue
 			}
-			answer, err := status(p)
+			st, err := status(p)
 			if err != nil {
 				return err.Error()
 			}
-			if answer.Plan.Epoch <= before {
-				return fmt.Sprintf("%s: epoch %d", p.name, answer.Plan.Epoch)
+			if st.Plan.Epoch <= before {
+				return fmt.Sprintf("%s: epoch %d", p.name, st.Plan.Epoch)
 			}
 		}
 		return ""
 	})
 }
 
-// freeze-planner stops the entry box that holds the planner's lease from running
-// and sets FROZEN to its name and FROZEN_EPOCH to its epoch.
+// freeze-planner freezes the entry box that made the current plan. It sets FROZEN to the name of the box, FROZEN_EPOCH
+// to the epoch of the plan, and CINDERSLIP_SERVER to another entry box.
 func freezePlanner(d *testDeployment, ts *testscript.TestScript, args []string) {
-	answer, err := status(d.entries()[0])
+	st, err := status(d.entries()[0])
 	ts.Check(err)
-	name := string(answer.Plan.Planner)
+	name := string(st.Plan.Planner)
 	ts.Setenv("FROZEN", name)
-	ts.Setenv("FROZEN_EPOCH", strconv.FormatUint(answer.Plan.Epoch, 10))
+	ts.Setenv("FROZEN_EPOCH", strconv.FormatUint(st.Plan.Epoch, 10))
 	freeze(d, ts, append(args, name))
 	for _, p := range d.entries() {
 		if p.name != name {
--- a/internal/scenario/callers_test.go
+++ b/internal/scenario/callers_test.go
@@ -18,7 +18,7 @@
 	"github.com/cinderslip/cinderslip/internal/daemon"
 )
 
-// result is what a caller saw of one request.
+// result is the outcome of one request as seen by its caller.
 type result string
 
 const (
@@ -27,17 +27,17 @@
 	resultUnknown   result = "unknown"
 	resultTruncated result = "cut"
 	resultInvalid   result = "wrong"
-	// resultUnreachable means that no entry box took the connection.
+	// resultUnreachable means that no entry box accepted the connection.
 	resultUnreachable result = "unreached"
 )
 
-// caller asks the system which entry box to use, keeps the answer for its time,
-// and checks that each answer is whole and its own.
+// caller sends requests to the entry boxes that a directory query returns, and checks that each response is complete
+// and belongs to its request. It caches the result of the query for its TTL.
 type caller struct {
 	deployment *testDeployment
 	group      string
 	service    string
-	// repeatable is the header's value; empty leaves it out.
+	// repeatable is the value of the Cinderslip-Repeatable header. If empty, the header is omitted.
 	repeatable string
 	tokens     int
 	client     *http.Client
@@ -46,18 +46,18 @@
 	entriesExpiry time.Time
 }
 
-func (d *testDeployment) newCaller(group, service string, given map[string]string) *caller {
-	c := &caller{deployment: d, group: group, service: service, repeatable: given["repeatable"], tokens: 10, client: &http.Client{Transport: &http.Transport{}}}
-	if given["tokens"] != "" {
-		c.tokens, _ = strconv.Atoi(given["tokens"])
+func (d *testDeployment) newCaller(group, service string, opts map[string]string) *caller {
+	c := &caller{deployment: d, group: group, service: service, repeatable: opts["repeatable"], tokens: 10, client: &http.Client{Transport: &http.Transport{}}}
+	if opts["tokens"] != "" {
+		c.tokens, _ = strconv.Atoi(opts["tokens"])
 	}
 	return c
 }
 
-// address returns an entry box, asking anew when the kept answer has run out or
-// did not work.
-func (c *caller) address(ctx context.Context, anew bool) (string, error) {
-	if !anew && time.Now().Before(c.entriesExpiry) && len(c.entries) > 0 {
+// address returns the caller address of an entry box. It repeats the directory query when the cached result has
+// expired or refresh is set.
+func (c *caller) address(ctx context.Context, refresh bool) (string, error) {
+	if !refresh && time.Now().Before(c.entriesExpiry) && len(c.entries) > 0 {
 		return string(c.entries[0].Address), nil
 	}
 	known := []string{}
@@ -76,41 +76,40 @@
 		if err != nil {
 			continue
 		}
-		var answer daemon.EntriesResponse
-		err = json.NewDecoder(response.Body).Decode(&answer)
+		var directory daemon.EntriesResponse
+		err = json.NewDecoder(response.Body).Decode(&directory)
 		_ = response.Body.Close()
-		if err == nil && len(answer.Entries) > 0 {
-			c.entries, c.entriesExpiry = answer.Entries, time.Now().Add(time.Duration(answer.TTLSeconds)*time.Second)
+		if err == nil && len(directory.Entries) > 0 {
+			c.entries, c.entriesExpiry = directory.Entries, time.Now().Add(time.Duration(directory.TTLSeconds)*time.Second)
 			return string(c.entries[0].Address), nil
 		}
 	}
-	return "", errors.New("no entry box answers")
+	return "", errors.New("querying entry boxes: no entry box returned a list")
 }
 
-// send makes one request and judges its answer. first is closed when the answer
-// has begun; it may be nil.
-func (c *caller) send(ctx context.Context, id string, first chan struct{}) (result, string) {
-	for try := range 6 {
-		address, err := c.address(ctx, try == 3)
+// send sends one request and checks its response. It closes started when the response header has arrived, unless
+// started is nil. The second result is a detail: the version, the content or the reason for a failure.
+func (c *caller) send(ctx context.Context, id string, started chan struct{}) (result, string) {
+	for attempt := range 6 {
+		address, err := c.address(ctx, attempt == 3)
 		if err != nil {
 			continue
 		}
 		response, err := c.post(ctx, address, id)
 		if err != nil {
-			// Only a connection that was refused proves that nothing was sent.
-			// The kept answer names other entry boxes to go on with.
+			// Only a refused connection proves that nothing was sent. The next attempt uses another cached entry box.
 			if strings.Contains(err.Error(), "connection refused") {
 				c.entries = append(c.entries[1:], c.entries[0])
 				continue
 			}
 			return resultUnknown, err.Error()
 		}
-		if first != nil {
-			close(first)
+		if started != nil {
+			close(started)
 		}
 		return c.checkResponse(response, id)
 	}
-	return resultUnreachable, "no entry box takes the connection"
+	return resultUnreachable, "no entry box accepts the connection"
 }
 
 func (c *caller) post(ctx context.Context, address, id string) (*http.Response, error) {
@@ -128,8 +127,7 @@
 	return c.client.Do(request)
 }
 
-// checkResponse requires that the answer is whole, says the caller's own words and comes
-// from one version only.
+// checkResponse checks that the response is complete, belongs to the request and comes from a single version.
 func (c *caller) checkResponse(response *http.Response, id string) (result, string) {
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
@@ -141,7 +139,7 @@
 	case response.StatusCode != http.StatusOK:
 		return resultInvalid, fmt.Sprintf("status %d: %s", response.StatusCode, content)
 	case response.Header.Get("Cinderslip-Request-Id") != id:
-		return resultInvalid, "another request's id"
+		return resultInvalid, "response has the id of another request"
 	}
 	if c.deployment.plainServiceNames[c.service] {
 		if !strings.Contains(string(content), id) {
@@ -150,8 +148,8 @@
 		return resultAnswered, string(content)
 	}
 	version := response.Header.Get("Cinderslip-Version")
-	prints := make(map[string]bool)
-	words := ""
+	fingerprints := make(map[string]bool)
+	text := ""
 	for line := range strings.SplitSeq(string(content), "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok || data == "[DONE]" {
@@ -168,21 +166,21 @@
 		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
 			return resultInvalid, err.Error()
 		}
-		prints[chunk.Fingerprint] = true
-		words += chunk.Choices[0].Delta.Content
+		fingerprints[chunk.Fingerprint] = true
+		text += chunk.Choices[0].Delta.Content
 	}
 	switch {
-	case !strings.HasSuffix(string(content), "data: [DONE]\n\n"), len(strings.Fields(words)) != c.tokens:
-		return resultInvalid, "the answer is not whole: " + words
-	case !strings.HasPrefix(words, fmt.Sprintf("%s %s answers: %s ", c.service, version, id)):
-		return resultInvalid, fmt.Sprintf("version %s, answer %q, want id %s", version, words, id)
-	case len(prints) != 1:
-		return resultInvalid, "the answer mixes versions"
+	case !strings.HasSuffix(string(content), "data: [DONE]\n\n"), len(strings.Fields(text)) != c.tokens:
+		return resultInvalid, "the response is incomplete: " + text
+	case !strings.HasPrefix(text, fmt.Sprintf("%s %s answers: %s ", c.service, version, id)):
+		return resultInvalid, fmt.Sprintf("version %s, response %q, want id %s", version, text, id)
+	case len(fingerprints) != 1:
+		return resultInvalid, "the response mixes versions"
 	}
 	return resultAnswered, version
 }
 
-// callerLoop is a number of callers that send one request after the other.
+// callerLoop runs several callers that send requests sequentially.
 type callerLoop struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
@@ -192,10 +190,10 @@
 	details []string
 }
 
-// callers NAME start GROUP SERVICE [workers=N] [repeatable=B] [tokens=N] starts a
-// loop; callers NAME stop RESULT… ends it and requires that every request came
-// to one of the results, and some were answered; callers NAME await N waits for N
-// answers more.
+// callers NAME start GROUP SERVICE [workers=N] [repeatable=B] [tokens=N] starts a loop of callers.
+// callers NAME await N waits until N more requests have been answered.
+// callers NAME stop RESULT… stops the loop. It requires that at least one request was answered and that every other
+// request had one of the results.
 func callers(d *testDeployment, ts *testscript.TestScript, args []string) {
 	if len(args) < 2 {
 		ts.Fatalf("want callers NAME start|stop|await …")
@@ -208,25 +206,25 @@
 	case "await":
 		d.awaitLoop(ts, args[0], args[2:])
 	default:
-		ts.Fatalf("callers: unexpected %q", args[1])
+		ts.Fatalf("callers: unexpected subcommand %q", args[1])
 	}
 }
 
 func (d *testDeployment) startLoop(ts *testscript.TestScript, name string, args []string) {
-	given := options(ts, args, 2, "workers", "repeatable", "tokens")
+	opts := options(ts, args, 2, "workers", "repeatable", "tokens")
 	workers := 4
-	if given["workers"] != "" {
-		workers, _ = strconv.Atoi(given["workers"])
+	if opts["workers"] != "" {
+		workers, _ = strconv.Atoi(opts["workers"])
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &callerLoop{cancel: cancel, counts: make(map[result]int)}
 	d.loops[name] = l
 	for worker := range workers {
-		c := d.newCaller(args[0], args[1], given)
+		c := d.newCaller(args[0], args[1], opts)
 		l.wg.Go(func() {
 			for number := 0; ctx.Err() == nil; number++ {
 				id := fmt.Sprintf("%s-%d-%d", name, worker, number)
-				// A request that has begun is let end, so that its result counts.
+				// A request in progress is completed after the loop is stopped, so that its result is counted.
 				got, detail := c.send(context.WithoutCancel(ctx), id, nil)
 				l.mu.Lock()
 				l.counts[got]++
@@ -250,10 +248,10 @@
 		defer l.mu.Unlock()
 		return l.counts[resultAnswered]
 	}
-	until := count() + more
+	target := count() + more
 	await(ts, "callers await", func() string {
-		if got := count(); got < until {
-			return fmt.Sprintf("%d answers of %d", got, until)
+		if got := count(); got < target {
+			return fmt.Sprintf("%d of %d requests answered", got, target)
 		}
 		return ""
 	})
@@ -264,12 +262,12 @@
 	l.cancel()
 	l.wg.Wait()
 	ts.Logf("callers %s: %v", name, l.counts)
-	good := map[result]bool{resultAnswered: true}
-	for _, word := range allowed {
-		good[result(word)] = true
+	permitted := map[result]bool{resultAnswered: true}
+	for _, value := range allowed {
+		permitted[result(value)] = true
 	}
 	for got := range l.counts {
-		if !good[got] {
+		if !permitted[got] {
 			d.dumpLogs(ts)
 			ts.Fatalf("callers %s: %v\n%s", name, l.counts, strings.Join(l.details, "\n"))
 		}
@@ -279,7 +277,7 @@
 	}
 }
 
-// backgroundRequest is one request in the background.
+// backgroundRequest is a single request that runs in the background of a script.
 type backgroundRequest struct {
 	caller  *caller
 	started chan struct{}
@@ -288,15 +286,16 @@
 	detail  string
 }
 
-// request NAME GROUP SERVICE [repeatable=B] [tokens=N] [id=ID] starts one request.
+// request NAME GROUP SERVICE [repeatable=B] [tokens=N] [id=ID] starts one request in the background. Its id is NAME
+// unless ID is given.
 func request(d *testDeployment, ts *testscript.TestScript, args []string) {
-	given := options(ts, args, 3, "repeatable", "tokens", "id")
+	opts := options(ts, args, 3, "repeatable", "tokens", "id")
 	id := args[0]
-	if given["id"] != "" {
-		id = given["id"]
+	if opts["id"] != "" {
+		id = opts["id"]
 	}
 	s := &backgroundRequest{started: make(chan struct{}), done: make(chan struct{})}
-	c := d.newCaller(args[1], args[2], given)
+	c := d.newCaller(args[1], args[2], opts)
 	s.caller = c
 	d.requests[args[0]] = s
 	go func() {
@@ -307,17 +306,17 @@
 	}()
 }
 
-// await-first NAME waits until the answer of a request has begun.
+// await-first NAME waits until the response to a request has started.
 func awaitResponseStart(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 1)
 	select {
 	case <-d.requests[args[0]].started:
 	case <-time.After(waitLimit):
-		ts.Fatalf("the answer of %s does not begin", args[0])
+		ts.Fatalf("timed out waiting for the response to %s to start", args[0])
 	}
 }
 
-// outcome NAME RESULT… waits for the end of a request and requires its result.
+// outcome NAME RESULT… waits for the end of a request and requires one of the results.
 func outcome(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args[:min(2, len(args))], 2)
 	s := d.requests[args[0]]
@@ -328,11 +327,11 @@
 		}
 	}
 	d.dumpLogs(ts)
-	ts.Fatalf("request %s came to %s, want %v: %s", args[0], s.result, args[1:], s.detail)
+	ts.Fatalf("request %s has result %s, want one of %v: %s", args[0], s.result, args[1:], s.detail)
 }
 
-// ran at-most-once requires that no request id began twice on any backend
-// server; ran ID N requires that it began N times on all of them together.
+// ran at-most-once requires that no request id was started more than once, over all backend servers.
+// ran ID N requires that the request id was started N times, over all backend servers.
 func ran(d *testDeployment, ts *testscript.TestScript, args []string) {
 	counts := make(map[string]int)
 	for _, engine := range d.engines {
@@ -340,8 +339,8 @@
 			counts[id] += count
 		}
 	}
-	for _, plain := range d.plainBackends {
-		for id, count := range plain.Runs() {
+	for _, backend := range d.plainBackends {
+		for id, count := range backend.Runs() {
 			counts[id] += count
 		}
 	}
@@ -359,19 +358,19 @@
 	}
 }
 
-// kill9-runner ID ends the agent at once whose backend server ran a request id.
+// kill9-runner ID kills the agent whose plain backend server ran a request id.
 func killRunner(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 1)
-	for name, plain := range d.plainBackends {
-		if plain.Runs()[args[0]] > 0 {
+	for name, backend := range d.plainBackends {
+		if backend.Runs()[args[0]] > 0 {
 			kill(d, ts, []string{name})
 			return
 		}
 	}
-	ts.Fatalf("nobody ran %s", args[0])
+	ts.Fatalf("no plain backend server ran %s", args[0])
 }
 
-// kill9-entry-of NAME ends the entry box at once through which a request went.
+// kill9-entry-of NAME kills the entry box through which a request was sent.
 func killEntryOf(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 1)
 	used := string(d.requests[args[0]].caller.entries[0].Address)
@@ -384,15 +383,14 @@
 	ts.Fatalf("no entry box has the address %s", used)
 }
 
-// refused-path PATH… requires that the callers' side does not answer a path of
-// the operators' side.
+// refused-path PATH… requires that the callers' listener responds with 404 to paths of the operators' listener.
 func refusedPath(d *testDeployment, ts *testscript.TestScript, args []string) {
 	for _, path := range args {
 		response, err := statusClient.Get("http://" + d.entries()[0].callers + path)
 		ts.Check(err)
 		_ = response.Body.Close()
 		if response.StatusCode != http.StatusNotFound {
-			ts.Fatalf("%s is answered with %d on the callers' side", path, response.StatusCode)
+			ts.Fatalf("%s has status %d on the callers' listener, want 404", path, response.StatusCode)
 		}
 	}
 }
--- a/internal/scenario/deployment_test.go
+++ b/internal/scenario/deployment_test.go
@@ -25,12 +25,12 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// testDeployment is the platform and the processes of one scenario.
+// testDeployment holds the platform stand-ins and the processes of one scenario.
 type testDeployment struct {
 	env *testscript.Env
 	dir string
-	// listenAddress is where processes listen, at any port. A process that was killed starts again at
-	// its port, which must not become that of a connection meanwhile: those begin at 127.0.0.1.
+	// listenAddress is the listen address of all processes, with port 0. A killed process restarts on its previous
+	// port. The address differs from 127.0.0.1 so that no outgoing connection can take that port in the meantime.
 	listenAddress string
 	clock         clockwork.Clock
 	kv            *standin.KeyValue
@@ -44,18 +44,17 @@
 	startOrder    []string
 	engines       map[string]*standin.Engine
 	plainBackends map[string]*standin.PlainService
-	// plainServiceNames holds the names of the plain services.
+	// plainServiceNames holds the names of the services without a model.
 	plainServiceNames map[string]bool
 
 	loops    map[string]*callerLoop
 	requests map[string]*backgroundRequest
 }
 
-// originRate is the stand-ins' rate in bytes per second until a scenario
-// changes it.
+// originRate is the initial rate of the origin and the weight store in bytes per second.
 const originRate = 8 << 20
 
-// deploymentCount counts the worlds of this process, so that each has an address of its own.
+// deploymentCount counts the deployments of this process, so that each gets its own listen address.
 var deploymentCount atomic.Int32
 
 func newTestDeployment(env *testscript.Env) (*testDeployment, error) {
@@ -106,7 +105,7 @@
 	}
 }
 
-// process is a cinderslipd of its own.
+// process is a running cinderslipd.
 type process struct {
 	name     string
 	config   string
@@ -128,7 +127,7 @@
 	}
 }
 
-// start runs the program and waits until it tells its addresses.
+// start runs cinderslipd and waits until it has logged its addresses.
 func (d *testDeployment) start(ts *testscript.TestScript, name, config string) {
 	p := &process{name: name, config: config, exited: make(chan struct{}), started: make(chan struct{})}
 	p.cmd = exec.Command("cinderslipd", "--config", config)
@@ -141,7 +140,7 @@
 	case <-p.started:
 	case <-p.exited:
 		d.dumpLogs(ts)
-		ts.Fatalf("%s ended at its start", name)
+		ts.Fatalf("%s exited during startup", name)
 	}
 }
 
@@ -161,7 +160,7 @@
 	close(p.exited)
 }
 
-// field reads a value of a log line.
+// field returns the value of a key in a log line.
 func field(line, key string) string {
 	_, rest, _ := strings.Cut(line, " "+key+"=")
 	value, _, _ := strings.Cut(rest, " ")
@@ -184,7 +183,7 @@
 	return d.processes[args[0]]
 }
 
-// entries are the entry boxes' processes that run, in the order of their start.
+// entries returns the running entry box processes in the order of their first start.
 func (d *testDeployment) entries() []*process {
 	var out []*process
 	for _, name := range d.startOrder {
@@ -200,15 +199,14 @@
 	return out
 }
 
-// publish MODEL VERSION BYTES [chunk=BYTES] publishes weights at the origin, and
-// at the weight store too unless the scenario has taken it down.
+// publish MODEL VERSION BYTES [chunk=BYTES] publishes weights at the origin and at the weight store.
 func publish(d *testDeployment, ts *testscript.TestScript, args []string) {
-	given := options(ts, args, 3, "chunk")
+	opts := options(ts, args, 3, "chunk")
 	size, err := strconv.Atoi(args[2])
 	ts.Check(err)
 	chunk := int64(64 << 10)
-	if given["chunk"] != "" {
-		chunk, err = strconv.ParseInt(given["chunk"], 10, 64)
+	if opts["chunk"] != "" {
+		chunk, err = strconv.ParseInt(opts["chunk"], 10, 64)
 		ts.Check(err)
 	}
 	var seed [32]byte
@@ -221,8 +219,8 @@
 	}
 }
 
-// origin slow BYTES-PER-SECOND | down | up changes the weight store and the
-// origin together; origin sent-at-most BYTES checks what both have sent.
+// origin slow BYTES-PER-SECOND | down | up limits the rate of origin and weight store, or takes both down or up.
+// origin sent-at-most BYTES requires that both together have sent at most BYTES.
 func origin(d *testDeployment, ts *testscript.TestScript, args []string) {
 	registries := []*standin.Registry{d.origin, d.weightStore}
 	switch {
@@ -247,12 +245,12 @@
 			ts.Fatalf("origin and weight store sent %d bytes, want at most %d", sent, limit)
 		}
 	default:
-		ts.Fatalf("origin: unexpected %v", args)
+		ts.Fatalf("origin: unexpected arguments %v", args)
 	}
 }
 
-// kv down | up | slow TIME | lose-answers N loses the answers of the next N
-// writes, after they took effect.
+// kv down | up | slow TIME makes the key-value service fail, work normally or delay each response by TIME.
+// kv lose-answers N drops the responses to the next N writes after the writes took effect.
 func keyValue(d *testDeployment, ts *testscript.TestScript, args []string) {
 	switch {
 	case len(args) == 1 && args[0] == "down":
@@ -264,24 +262,24 @@
 		ts.Check(err)
 		d.kv.SetFault(func(string) standin.Fault { return standin.Fault{Delay: delay} })
 	case len(args) == 2 && args[0] == "lose-answers":
-		left, err := strconv.Atoi(args[1])
+		remaining, err := strconv.Atoi(args[1])
 		ts.Check(err)
 		var mu sync.Mutex
 		d.kv.SetFault(func(path string) standin.Fault {
 			mu.Lock()
 			defer mu.Unlock()
-			if path != "/v3/kv/txn" || left == 0 {
+			if path != "/v3/kv/txn" || remaining == 0 {
 				return standin.Fault{}
 			}
-			left--
+			remaining--
 			return standin.Fault{DropResponse: true}
 		})
 	default:
-		ts.Fatalf("kv: unexpected %v", args)
+		ts.Fatalf("kv: unexpected arguments %v", args)
 	}
 }
 
-// list leaving BOX | gone BOX changes what the platform's box list says.
+// list leaving BOX | gone BOX marks a box as leaving in the platform's box list, or removes it from the list.
 func list(d *testDeployment, ts *testscript.TestScript, args []string) {
 	if len(args) != 2 {
 		ts.Fatalf("list: want leaving BOX or gone BOX")
@@ -292,7 +290,7 @@
 	case "gone":
 		d.boxList.Remove(args[1])
 	default:
-		ts.Fatalf("list: unexpected %v", args)
+		ts.Fatalf("list: unexpected arguments %v", args)
 	}
 }
 
@@ -361,31 +359,31 @@
 
 // entry NAME DOMAIN [region=R] [places=N] [queue=N] starts an entry box.
 func entry(d *testDeployment, ts *testscript.TestScript, args []string) {
-	given := options(ts, args, 2, "region", "places", "queue")
-	config := d.commonSettings("entry", args[0], args[1], given["region"]) + fmt.Sprintf("callers = %q\n", d.listenAddress) + "\n[requests]\nentries_ttl = \"1s\"\n"
-	if given["places"] != "" {
-		config += "places_per_replica = " + given["places"] + "\n"
+	opts := options(ts, args, 2, "region", "places", "queue")
+	config := d.commonSettings("entry", args[0], args[1], opts["region"]) + fmt.Sprintf("callers = %q\n", d.listenAddress) + "\n[requests]\nentries_ttl = \"1s\"\n"
+	if opts["places"] != "" {
+		config += "places_per_replica = " + opts["places"] + "\n"
 	}
-	if given["queue"] != "" {
-		config += "queue_per_group = " + given["queue"] + "\n"
+	if opts["queue"] != "" {
+		config += "queue_per_group = " + opts["queue"] + "\n"
 	}
 	d.launch(ts, args[0], config)
 }
 
-// agent NAME DOMAIN [models=A,B] [slots=N] [plain=S] [token-time=T] [region=R]
-// starts an agent with an engine, a plain service, or both. They outlive it.
+// agent NAME DOMAIN [models=A,B] [slots=N] [plain=S] [token-time=T] [region=R] starts an agent with an engine, a plain
+// service, or both. These keep running when the agent exits.
 func agent(d *testDeployment, ts *testscript.TestScript, args []string) {
-	given := options(ts, args, 2, "models", "slots", "plain", "token-time", "region")
-	config := d.commonSettings("agent", args[0], args[1], given["region"])
-	if given["models"] != "" {
+	opts := options(ts, args, 2, "models", "slots", "plain", "token-time", "region")
+	config := d.commonSettings("agent", args[0], args[1], opts["region"])
+	if opts["models"] != "" {
 		engine := standin.EngineOptions{Slots: 2, LoadTime: 20 * time.Millisecond, TokenInterval: 2 * time.Millisecond, Tokens: 10}
-		if given["slots"] != "" {
-			slots, err := strconv.Atoi(given["slots"])
+		if opts["slots"] != "" {
+			slots, err := strconv.Atoi(opts["slots"])
 			ts.Check(err)
 			engine.Slots = slots
 		}
-		if given["token-time"] != "" {
-			duration, err := time.ParseDuration(given["token-time"])
+		if opts["token-time"] != "" {
+			duration, err := time.ParseDuration(opts["token-time"])
 			ts.Check(err)
 			engine.TokenInterval = duration
 		}
@@ -393,19 +391,19 @@
 		url, err := d.serve(d.engines[args[0]])
 		ts.Check(err)
 		config += fmt.Sprintf("\n[agent.engine]\nurl = %q\nslots = %d\nmodels = [\"%s\"]\n", url, engine.Slots,
-			strings.ReplaceAll(given["models"], ",", `", "`))
+			strings.ReplaceAll(opts["models"], ",", `", "`))
 	}
-	if given["plain"] != "" {
-		d.plainServiceNames[given["plain"]] = true
+	if opts["plain"] != "" {
+		d.plainServiceNames[opts["plain"]] = true
 		d.plainBackends[args[0]] = standin.NewPlainService(d.clock)
 		url, err := d.serve(d.plainBackends[args[0]])
 		ts.Check(err)
-		config += fmt.Sprintf("\n[[agent.services]]\nname = %q\nurl = %q\n", given["plain"], url)
+		config += fmt.Sprintf("\n[[agent.services]]\nname = %q\nurl = %q\n", opts["plain"], url)
 	}
 	d.launch(ts, args[0], config)
 }
 
-// kill9 NAME ends a process at once.
+// kill9 NAME kills a process.
 func kill(d *testDeployment, ts *testscript.TestScript, args []string) {
 	p := d.process(ts, args)
 	p.signal(syscall.SIGKILL)
@@ -413,14 +411,14 @@
 	d.useRunningEntry(ts)
 }
 
-// useRunningEntry points the command line at an entry box that runs.
+// useRunningEntry sets CINDERSLIP_SERVER to a running entry box.
 func (d *testDeployment) useRunningEntry(ts *testscript.TestScript) {
 	if running := d.entries(); len(running) > 0 {
 		ts.Setenv("CINDERSLIP_SERVER", running[0].operators)
 	}
 }
 
-// freeze NAME stops a process from running, thaw NAME lets it go on.
+// freeze NAME pauses a process with SIGSTOP, and thaw NAME resumes it.
 func freeze(d *testDeployment, ts *testscript.TestScript, args []string) {
 	d.process(ts, args).signal(syscall.SIGSTOP)
 }
@@ -429,7 +427,7 @@
 	d.process(ts, args).signal(syscall.SIGCONT)
 }
 
-// terminate NAME is a planned stop, which must end with exit code 0.
+// terminate NAME stops a process with SIGTERM and requires exit code 0.
 func terminate(d *testDeployment, ts *testscript.TestScript, args []string) {
 	p := d.process(ts, args)
 	p.signal(syscall.SIGTERM)
@@ -437,17 +435,16 @@
 	case <-p.exited:
 	case <-time.After(waitLimit):
 		d.dumpLogs(ts)
-		ts.Fatalf("%s does not end", p.name)
+		ts.Fatalf("timed out waiting for %s to exit", p.name)
 	}
 	if p.exitCode != 0 {
 		d.dumpLogs(ts)
-		ts.Fatalf("%s ended with exit code %d", p.name, p.exitCode)
+		ts.Fatalf("%s exited with code %d, want 0", p.name, p.exitCode)
 	}
 	d.useRunningEntry(ts)
 }
 
-// restart NAME starts a process that has ended with the same settings, at the
-// addresses that it had.
+// restart NAME waits for a process to exit and starts it again with the same settings and addresses.
 func restart(d *testDeployment, ts *testscript.TestScript, args []string) {
 	p := d.process(ts, args)
 	<-p.exited
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -1,10 +1,8 @@
-// Package scenario runs scripted scenarios against real processes: entry boxes
-// and agents as separate processes on 127.0.0.1, the platform as stand-ins in
-// the test.
+// Package scenario runs scripted scenarios against real processes. Entry boxes and agents run as separate processes on
+// loopback addresses. Stand-ins for the platform's services run in the test process.
 //
-// A scenario is a file in testdata. Its commands are those of the package
-// testscript and the ones in the map commands, each described at its function.
-// Waits are bounded so that a scenario ends, never to judge speed.
+// A scenario is a script in testdata. It uses the commands of package testscript and those in the map commands, each of
+// which is documented at its function. Timeouts only ensure that a scenario ends and are no performance requirements.
 package scenario
 
 import (
@@ -20,14 +18,14 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// waitLimit bounds each wait of a scenario.
+// waitLimit is the timeout of each wait in a scenario.
 const waitLimit = 40 * time.Second
 
 func TestMain(m *testing.M) {
 	os.Exit(runWithPrograms(m))
 }
 
-// runWithPrograms builds the two programs and puts them on the path.
+// runWithPrograms builds cinderslip and cinderslipd, adds them to PATH and runs the tests.
 func runWithPrograms(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "cinderslip-scenario-")
 	if err != nil {
@@ -47,14 +45,14 @@
 	return m.Run()
 }
 
-// A command with the name of one of testscript's own is never run: "stop" ends a
-// script as passed, so that one scenario checked nothing behind it.
+// Testscript never runs a custom command that has the name of a built-in command. A custom "stop" command once ended a
+// script early as passed, so that the rest of the scenario was not checked.
 func TestCommandsDoNotShadowBuiltins(t *testing.T) {
 	builtIn := strings.Fields("cat cd chmod cmp cmpenv cp env exec exists grep kill mkdir mv rm skip " +
 		"stderr stdin stdout stop symlink ttyin ttyout unix2dos unquote wait")
 	for name := range commands {
 		if slices.Contains(builtIn, name) {
-			t.Errorf("%s is a command of testscript", name)
+			t.Errorf("command %s has the name of a built-in testscript command", name)
 		}
 	}
 }
@@ -84,13 +82,13 @@
 	return ts.Value(deploymentKey{}).(*testDeployment)
 }
 
-// command is a scenario's command without a negated form.
+// command implements a scenario command that cannot be negated.
 type command func(d *testDeployment, ts *testscript.TestScript, args []string)
 
 func withoutNegation(name string, run command) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		if neg {
-			ts.Fatalf("%s has no negated form", name)
+			ts.Fatalf("%s cannot be negated", name)
 		}
 		run(deploymentOf(ts), ts, args)
 	}
@@ -126,27 +124,28 @@
 	"refused-path":   withoutNegation("refused-path", refusedPath),
 }
 
-// options reads the words key=value after the fixed ones.
+// options parses the key=value arguments that follow the fixed ones. It fails the script if fixed arguments are
+// missing or a key is not allowed.
 func options(ts *testscript.TestScript, args []string, fixed int, allowed ...string) map[string]string {
 	if len(args) < fixed {
-		ts.Fatalf("want at least %d words, got %v", fixed, args)
+		ts.Fatalf("want at least %d arguments, got %v", fixed, args)
 	}
 	out := make(map[string]string)
-	for _, word := range args[fixed:] {
-		key, value, ok := strings.Cut(word, "=")
+	for _, arg := range args[fixed:] {
+		key, value, ok := strings.Cut(arg, "=")
 		known := false
 		for _, name := range allowed {
 			known = known || name == key
 		}
 		if !ok || !known {
-			ts.Fatalf("unexpected word %q, want one of %v with a value", word, allowed)
+			ts.Fatalf("unexpected argument %q, want key=value with one of the keys %v", arg, allowed)
 		}
 		out[key] = value
 	}
 	return out
 }
 
-// await polls until the check gives no reason to wait any more.
+// await polls check until it returns no reason to wait. It fails the script with the last reason after waitLimit.
 func await(ts *testscript.TestScript, what string, check func() (reason string)) {
 	deadline := time.Now().Add(waitLimit)
 	for {
@@ -156,7 +155,7 @@
 		}
 		if time.Now().After(deadline) {
 			deploymentOf(ts).dumpLogs(ts)
-			ts.Fatalf("%s did not come true: %s", what, reason)
+			ts.Fatalf("timed out waiting for %s: %s", what, reason)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/internal/scenario/usage_test.go
+++ b/internal/scenario/usage_test.go
@@ -10,12 +10,11 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// clockTicks is the unit of the kernel's accounting on Linux, in parts of a
-// second.
+// clockTicks is the number of clock ticks per second in /proc/PID/stat on Linux.
 const clockTicks = 100
 
-// usage TIME logs what each process used in that time: part of a core and
-// resident memory. It judges nothing; the figures are for docs/CAPACITY.md.
+// usage TIME logs the CPU usage of each process during TIME, in percent of a core, and its resident memory at the end.
+// It checks nothing. The figures are for docs/CAPACITY.md.
 func usage(d *testDeployment, ts *testscript.TestScript, args []string) {
 	options(ts, args, 1)
 	span, err := time.ParseDuration(args[0])
