--- a/internal/soak/load_test.go
+++ b/internal/soak/load_test.go
@@ -14,72 +14,72 @@
 )
 
 const (
-	callerWait = 3 * time.Second
-	// failurePause is how long a caller waits after a request that was not served.
-	failurePause = 20 * time.Millisecond
+	callerTimeout = 3 * time.Second
+	// failureBackoff is how long a caller waits after a request that failed.
+	failureBackoff = 20 * time.Millisecond
 )
 
-// kinds are the routes that callers use.
-var kinds = []string{"talk", "once", "look", "book"}
+// routeNames are the names of the routes that callers use. Requests on "once" and "book" may run at most once.
+var routeNames = []string{"talk", "once", "look", "book"}
 
-// load is the callers, and what they have seen.
+// load sends the requests of the callers and records their results.
 type load struct {
-	w      *world
-	client *http.Client
-	number atomic.Int64
-	ended  atomic.Bool
-	all    sync.WaitGroup
+	deployment *testDeployment
+	client     *http.Client
+	lastID     atomic.Int64
+	stopped    atomic.Bool
+	wg         sync.WaitGroup
 
-	mu       sync.Mutex
-	refused  []string
-	once     []string
-	problems []string
-	counts   map[string]int
-	// asks are all requests by their ids; heard is when the head of an answer came in which its server says that
-	// it leaves.
-	asks  map[string]asked
-	heard map[string]time.Time
-	// limitHeard is when the header of an answer with a rate limit was received, by request id.
-	limitHeard map[string]time.Time
+	mu         sync.Mutex
+	rejected   []string
+	atMostOnce []string
+	problems   []string
+	counts     map[string]int
+	// requests holds all requests by id. leavingReceived holds the time at which a caller received the header of a
+	// response whose server announced that it is leaving, by request id.
+	requests        map[string]sentRequest
+	leavingReceived map[string]time.Time
+	// limitReceived holds the time at which the header of a response with a rate limit was received, by request id.
+	limitReceived map[string]time.Time
 }
 
-func newLoad(w *world) *load {
+func newLoad(d *testDeployment) *load {
 	return &load{
-		w: w, counts: make(map[string]int), asks: make(map[string]asked),
-		heard: make(map[string]time.Time), limitHeard: make(map[string]time.Time),
-		client: &http.Client{Timeout: callerWait + time.Second, Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 4}},
+		deployment: d, counts: make(map[string]int), requests: make(map[string]sentRequest),
+		leavingReceived: make(map[string]time.Time), limitReceived: make(map[string]time.Time),
+		client: &http.Client{Timeout: callerTimeout + time.Second, Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 4}},
 	}
 }
 
-// run starts the callers. Each keeps its connections open until the process is gone.
+// run starts the callers. They share a client, which keeps connections open until the entry box closes them.
 func (l *load) run(callers int) {
 	for range callers {
-		l.all.Go(func() {
-			for !l.ended.Load() {
-				kind := kinds[rand.IntN(len(kinds))]
-				if !l.ask(kind, l.w.callers[rand.IntN(len(l.w.callers))]) {
-					time.Sleep(failurePause)
+		l.wg.Go(func() {
+			for !l.stopped.Load() {
+				route := routeNames[rand.IntN(len(routeNames))]
+				if !l.send(route, l.deployment.callerAddresses[rand.IntN(len(l.deployment.callerAddresses))]) {
+					time.Sleep(failureBackoff)
 				}
 			}
 		})
 	}
 }
 
-// stop waits for the requests that are in progress.
+// stop stops the callers and waits for the requests in progress.
 func (l *load) stop() {
-	l.ended.Store(true)
-	l.all.Wait()
+	l.stopped.Store(true)
+	l.wg.Wait()
 }
 
-// awaitServed waits until every entry box answers every kind of request.
-func (l *load) awaitServed(t *testing.T) {
+// awaitServing waits until every entry box serves requests on every route.
+func (l *load) awaitServing(t *testing.T) {
 	t.Helper()
-	deadline := time.Now().Add(settleLimit)
-	for _, entry := range l.w.callers {
-		for _, kind := range kinds {
-			for !l.ask(kind, entry) {
+	deadline := time.Now().Add(recoveryTimeout)
+	for _, entry := range l.deployment.callerAddresses {
+		for _, route := range routeNames {
+			for !l.send(route, entry) {
 				if time.Now().After(deadline) {
-					t.Errorf("%s does not answer %s", entry, kind)
+					t.Errorf("%s does not serve requests on route %s", entry, route)
 					return
 				}
 				time.Sleep(50 * time.Millisecond)
@@ -88,38 +88,38 @@
 	}
 }
 
-// awaitChange lets the store swallow calls for a while, and waits until a change that is
-// written at its return is in force on every entry box.
+// awaitChange drops the traffic of the store for a time, writes a configuration change once the store is reachable
+// again, and waits until the change is in effect on every entry box.
 func (l *load) awaitChange(t *testing.T) {
 	t.Helper()
-	silent := longestOutage * time.Duration(l.w.random.Int64N(100)) / 100
-	storeSwallows(l.w, 0, silent/2)
-	added := l.w.putConfig()
-	began := time.Now()
-	var last time.Duration
-	for _, entry := range l.w.callers {
-		for !l.isKnown(entry, added) {
-			if time.Since(began) > settleLimit {
-				t.Errorf("%s does not know route %s after the store was silent for %s", entry, added, silent)
+	outage := maxOutage * time.Duration(l.deployment.random.Int64N(100)) / 100
+	blackholeStore(l.deployment, 0, outage/2)
+	route := l.deployment.putConfig()
+	start := time.Now()
+	var elapsed time.Duration
+	for _, entry := range l.deployment.callerAddresses {
+		for !l.hasRoute(entry, route) {
+			if time.Since(start) > recoveryTimeout {
+				t.Errorf("%s does not have route %s after the store was unreachable for %s", entry, route, outage)
 				return
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		last = time.Since(began)
+		elapsed = time.Since(start)
 	}
-	t.Logf("the store was silent for %s, a change was in force everywhere %s later", silent, last.Round(time.Millisecond))
-	if *change > 0 && last > *change {
-		t.Errorf("a change took %s, want %s at most", last, *change)
+	t.Logf("the store was unreachable for %s; a change took effect on all entry boxes %s later", outage, elapsed.Round(time.Millisecond))
+	if *maxChangeTime > 0 && elapsed > *maxChangeTime {
+		t.Errorf("a change took %s to take effect, want at most %s", elapsed, *maxChangeTime)
 	}
 }
 
-// longestOutage is the longest silence of the store before a change, longer than any wait
-// between two calls of it.
-const longestOutage = 6 * time.Second
+// maxOutage is the upper bound of the store outage before a change. It is longer than any interval between two calls to
+// the store.
+const maxOutage = 6 * time.Second
 
-// isKnown reports whether an entry box has a route.
-func (l *load) isKnown(entry, route string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), callerWait)
+// hasRoute reports whether an entry box has a route.
+func (l *load) hasRoute(entry, route string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+"/"+route+"/1", http.NoBody)
 	if err != nil {
@@ -127,7 +127,7 @@
 		return true
 	}
 	request.Host = "a.example"
-	request.Header.Set("X-Request-Id", fmt.Sprintf("r-%d-%d", l.w.number, l.number.Add(1)))
+	request.Header.Set("X-Request-Id", fmt.Sprintf("r-%d-%d", l.deployment.index, l.lastID.Add(1)))
 	response, err := l.client.Do(request)
 	if err != nil {
 		return false
@@ -136,83 +136,82 @@
 	return response.StatusCode != http.StatusNotFound
 }
 
-// ask sends one request and checks what comes back. It reports whether the request was
-// answered with success.
-func (l *load) ask(kind, entry string) bool {
-	id := fmt.Sprintf("r-%d-%d", l.w.number, l.number.Add(1))
-	if kind == "once" || kind == "book" {
-		l.note(&l.once, id)
+// send sends one request and checks the response. It reports whether the request succeeded.
+func (l *load) send(route, entry string) bool {
+	id := fmt.Sprintf("r-%d-%d", l.deployment.index, l.lastID.Add(1))
+	if route == "once" || route == "book" {
+		l.note(&l.atMostOnce, id)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callerWait)
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+"/"+kind+"/1", strings.NewReader("draft"))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+"/"+route+"/1", strings.NewReader("draft"))
 	if err != nil {
 		l.problem("request %s: %v", id, err)
 		return false
 	}
 	request.Host = "a.example"
-	// Without this the client would send a request that it takes for repeatable twice.
+	// With GetBody the client could retry the request by itself and so send it twice.
 	request.GetBody = nil
 	request.Header.Set("X-Request-Id", id)
-	request.Header.Set("X-Deadline-Ms", fmt.Sprint(callerWait.Milliseconds()))
+	request.Header.Set("X-Deadline-Ms", fmt.Sprint(callerTimeout.Milliseconds()))
 	request.Header.Set("X-Token-Usage", "100,60")
 	l.mu.Lock()
-	l.asks[id] = asked{entry, time.Now()}
+	l.requests[id] = sentRequest{entry, time.Now()}
 	l.mu.Unlock()
 	response, err := l.client.Do(request)
 	if err != nil {
-		l.count("no answer")
+		l.count("no response")
 		return false
 	}
 	if response.Header.Get("Server-Leaving") != "" {
-		l.hear(id)
+		l.recordLeaving(id)
 	}
 	if response.Header.Get("Server-Limit") != "" {
-		l.hearLimit(id)
+		l.recordLimit(id)
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	return l.check(kind, id, response, string(body), err)
+	return l.check(route, id, response, string(body), err)
 }
 
-// check holds one answer against what was promised.
-func (l *load) check(kind, id string, response *http.Response, body string, err error) bool {
+// check checks one response and reports whether it is a complete success.
+func (l *load) check(route, id string, response *http.Response, body string, err error) bool {
 	l.count(fmt.Sprint(response.StatusCode))
 	switch response.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
-		l.note(&l.refused, id)
+		l.note(&l.rejected, id)
 		if response.Header.Get("Retry-After") == "" {
-			l.problem("request %s was refused without a time to come back", id)
+			l.problem("request %s was rejected without Retry-After", id)
 		}
 		return false
 	case http.StatusOK:
 	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusGatewayTimeout:
 		return false
 	default:
-		l.problem("request %s (%s): status %d", id, kind, response.StatusCode)
+		l.problem("request %s (%s): status %d", id, route, response.StatusCode)
 		return false
 	}
 	if got := response.Header.Get("X-Request-Id"); got != id || response.Header.Get("X-Response-Seal") == "" {
-		l.problem("request %s: answer of %q with seal %q", id, got, response.Header.Get("X-Response-Seal"))
+		l.problem("request %s: got a response to %q with seal %q", id, got, response.Header.Get("X-Response-Seal"))
 	}
 	want := "answer to " + id
-	if kind == "talk" || kind == "once" {
-		want = wholeStream()
+	if route == "talk" || route == "once" {
+		want = completeStream()
 	}
 	switch {
 	case err != nil && !strings.HasPrefix(want, body):
-		l.problem("request %s: broken answer %q is no beginning of %q", id, body, want)
+		l.problem("request %s: truncated response %q is not a prefix of %q", id, body, want)
 	case err == nil && body != want:
-		l.problem("request %s: answer %q, want %q", id, body, want)
+		l.problem("request %s: got response %q, want %q", id, body, want)
 	case err != nil:
-		l.count("visibly broken")
+		l.count("truncated with an error")
 	}
 	return err == nil
 }
 
-func wholeStream() string {
+func completeStream() string {
 	var want strings.Builder
-	for event := range events {
+	for event := range eventCount {
 		fmt.Fprintf(&want, "id: %d\ndata: token %d\n\n", event+1, event+1)
 	}
 	return want.String()
@@ -234,10 +233,11 @@
 	l.note(&l.problems, fmt.Sprintf(format, args...))
 }
 
-// findings are the promises that were broken.
+// findings returns the problems seen by callers, and the requests that ran although they were rejected or ran twice
+// although they may run only once.
 func (l *load) findings() []string {
 	runs := make(map[string]int)
-	for _, s := range l.w.servers {
+	for _, s := range l.deployment.servers {
 		for id, count := range s.Runs() {
 			runs[id] += count
 		}
@@ -245,14 +245,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	findings := append([]string(nil), l.problems...)
-	for _, id := range l.once {
+	for _, id := range l.atMostOnce {
 		if runs[id] > 1 {
-			findings = append(findings, fmt.Sprintf("request %s may run once and ran %d times", id, runs[id]))
+			findings = append(findings, fmt.Sprintf("request %s may run at most once and ran %d times", id, runs[id]))
 		}
 	}
-	for _, id := range l.refused {
+	for _, id := range l.rejected {
 		if runs[id] > 0 {
-			findings = append(findings, fmt.Sprintf("request %s was refused as not run and ran %d times", id, runs[id]))
+			findings = append(findings, fmt.Sprintf("request %s was rejected as not executed and ran %d times", id, runs[id]))
 		}
 	}
 	return findings
