--- a/internal/direct/crash_test.go
+++ b/internal/direct/crash_test.go
@@ -16,7 +16,7 @@
 // cmdCrashOnRequest makes every server crash when it starts to run a request with a body, and restart a little
 // later:
 //
-//	crashes BODY
+//	crash-on-request BODY
 func (w *testDeployment) cmdCrashOnRequest(args []string) error {
 	for _, s := range w.servers {
 		s.CrashOnBody(args[0], func() { w.crash(s) })
@@ -54,11 +54,11 @@
 	return count
 }
 
-// cmdCauseFaults sends a body to entry boxes in turn until it has reached a number of servers, or until it is
+// cmdCauseExits sends a body to entry boxes in turn until it has reached a number of servers, or until it is
 // refused as quarantined:
 //
-//	harm 3 /talk/1 BODY entry-1 entry-2
-func (w *testDeployment) cmdCauseFaults(args []string) error {
+//	cause-exits 3 /talk/1 BODY entry-1 entry-2
+func (w *testDeployment) cmdCauseExits(args []string) error {
 	entries, tries := args[3:], 0
 	return w.await(func() error {
 		before := w.reachedServers(args[1], args[2])
@@ -80,7 +80,7 @@
 
 // sendBody sends a body to an entry box and returns the status of the response.
 func (w *testDeployment) sendBody(entry, path, body string) (int, error) {
-	response, err := w.requestBody(entry, fmt.Sprintf("harm-%d", w.requestCount.Add(1)), path, "key-1", body)
+	response, err := w.requestBody(entry, fmt.Sprintf("cause-exits-%d", w.requestCount.Add(1)), path, "key-1", body)
 	if err != nil {
 		return 0, err
 	}
@@ -94,7 +94,7 @@
 
 // cmdCheckBlocked sends a body to entry boxes, each of which must refuse it without sending it to a server:
 //
-//	barred /talk/1 BODY entry-1
+//	check-blocked /talk/1 BODY entry-1
 func (w *testDeployment) cmdCheckBlocked(args []string) error {
 	before := w.reachedServers(args[0], args[1])
 	var findings []string
@@ -118,7 +118,7 @@
 
 // cmdAwaitStatus sends a body to an entry box until the response, which may be truncated, has a status:
 //
-//	answered entry-1 /talk/1 BODY 200
+//	await-status entry-1 /talk/1 BODY 200
 //
 // It retries because a server that is just starting may delay the response.
 func (w *testDeployment) cmdAwaitStatus(args []string) error {
@@ -134,9 +134,9 @@
 // cmdCrashMidStream starts a stream at an entry box and crashes its server after crashDelay. The stream resumes
 // at another server:
 //
-//	running entry-1 /talk/1 BODY
+//	crash-mid-stream entry-1 /talk/1 BODY
 func (w *testDeployment) cmdCrashMidStream(args []string) error {
-	id := fmt.Sprintf("running-%d", w.requestCount.Add(1))
+	id := fmt.Sprintf("crash-mid-stream-%d", w.requestCount.Add(1))
 	for _, s := range w.servers {
 		s.SetEventInterval(slowEventInterval)
 		defer s.SetEventInterval(eventInterval)
--- a/internal/direct/deployment_test.go
+++ b/internal/direct/deployment_test.go
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// cmdPublish publishes a version of the weights: name 2.
+// cmdPublish publishes a version of the weights: publish 2.
 func (w *testDeployment) cmdPublish(args []string) error {
 	w.version = uint64(parseInt(args[0], 1))
 	raw, err := json.Marshal(map[string]any{"Model": "daka", "Version": w.version})
@@ -289,19 +289,19 @@
 	return nil
 }
 
-// cmdStop stops a process in a planned stop: end entry-1.
+// cmdStop stops a process in a planned stop: stop entry-1.
 func (w *testDeployment) cmdStop(args []string) error {
 	process := w.processes[args[0]]
 	delete(w.processes, args[0])
 	return process.Stop(context.Background())
 }
 
-// cmdStore controls the store: it sets a fault (store refuse, store deaf), clears it (store sound), compacts the
+// cmdStore controls the store: it sets a fault (store refuse, store deaf), clears it (store healthy), compacts the
 // history (store compact), removes the entry of a server (store remove SERVER) or writes it with a state
 // (store draining SERVER, store ready SERVER).
 func (w *testDeployment) cmdStore(args []string) error {
 	switch args[0] {
-	case "sound":
+	case "healthy":
 		w.store.SetFault(standin.FaultNone)
 	case "compact":
 		w.store.Compact()
@@ -318,11 +318,11 @@
 
 // cmdServer sets the faults and signals of a server. It clears those that are not given, except leaving and dead:
 //
-//	server model-1 cut=4             breaks streams off at event 4
+//	server model-1 truncate-at=4     breaks streams off at event 4
 //	server plain-1 status=500        responds with this status
-//	server plain-1 mute              runs requests without responding
+//	server plain-1 unresponsive      runs requests without responding
 //	server plain-1 limit=1.9         advertises this rate limit, per second
-//	server plain-1 rest=5            rejects requests with this Retry-After value
+//	server plain-1 retry-after=5     rejects requests with this Retry-After value
 //	server model-1 leaving           announces its end in its responses
 //	server plain-1 dead              stops listening
 //	server model-1 restart=i-new     restarts under a new id
@@ -330,14 +330,14 @@
 //	server model-1 restart=same version=1   restarts under its old id with version 1
 func (w *testDeployment) cmdServer(args []string) error {
 	s, options := w.servers[args[0]], parseOptions(args[1:])
-	s.TruncateStreamAt(parseInt(options["cut"], 0))
+	s.TruncateStreamAt(parseInt(options["truncate-at"], 0))
 	s.SetErrorStatus(parseInt(options["status"], 0))
-	_, mute := options["mute"]
-	s.SetUnresponsive(mute)
+	_, unresponsive := options["unresponsive"]
+	s.SetUnresponsive(unresponsive)
 	if _, leaving := options["leaving"]; leaving {
 		s.SetLeaving(true)
 	}
-	s.SetRetryAfter(options["rest"])
+	s.SetRetryAfter(options["retry-after"])
 	s.SetRateLimit(options["limit"])
 	if _, dead := options["dead"]; dead {
 		return s.host.StopListening()
@@ -373,14 +373,14 @@
 	return nil
 }
 
-// cmdOrigin corrupts the next chunks that the origin sends (origin spoil=3), or checks that it has sent at most a
-// number of chunks (origin most=9).
+// cmdOrigin corrupts the next chunks that the origin sends (origin corrupt=3), or checks that it has sent at most a
+// number of chunks (origin max=9).
 func (w *testDeployment) cmdOrigin(args []string) error {
 	options := parseOptions(args)
-	if limit := parseInt(options["most"], 0); limit > 0 && w.origin.Sent() > limit {
+	if limit := parseInt(options["max"], 0); limit > 0 && w.origin.Sent() > limit {
 		return fmt.Errorf("origin sent %d chunks, want at most %d", w.origin.Sent(), limit)
 	}
-	w.origin.CorruptNext(parseInt(options["spoil"], 0))
+	w.origin.CorruptNext(parseInt(options["corrupt"], 0))
 	return nil
 }
 
@@ -431,7 +431,7 @@
 // cmdStream requests a stream and checks that it is complete: stream entry-1 s-1.
 func (w *testDeployment) cmdStream(args []string) error { return w.checkStream(args[0], args[1]) }
 
-// cmdStartStream starts a stream in the background and waits until a server runs it: begin entry-1 s-1.
+// cmdStartStream starts a stream in the background and waits until a server runs it: start-stream entry-1 s-1.
 func (w *testDeployment) cmdStartStream(args []string) error {
 	done := make(chan error, 1)
 	w.mu.Lock()
@@ -448,7 +448,7 @@
 	})
 }
 
-// cmdAwaitStream waits for the end of a stream in the background and checks that it is complete: whole s-1.
+// cmdAwaitStream waits for the end of a stream in the background and checks that it is complete: await-stream s-1.
 func (w *testDeployment) cmdAwaitStream(args []string) error {
 	select {
 	case err := <-w.streams[args[0]]:
@@ -459,7 +459,7 @@
 }
 
 // cmdRequest sends a request and checks the status of the response, and that a 503 response has a Retry-After
-// header: ask entry-1 r-1 /look/1 key-1 200.
+// header: request entry-1 r-1 /look/1 key-1 200.
 func (w *testDeployment) cmdRequest(args []string) error {
 	response, err := w.request(args[0], args[1], args[2], args[3])
 	if err != nil {
@@ -476,7 +476,7 @@
 }
 
 // cmdCheckRuns checks how often a request ran on all servers, and its organisation if one is given:
-// ran s-1 1 [organisation].
+// check-runs s-1 1 [organisation].
 func (w *testDeployment) cmdCheckRuns(args []string) error {
 	runs := 0
 	for _, s := range w.servers {
@@ -499,7 +499,7 @@
 //	await stream entry-1                     a stream is complete
 //	await directory entry-1 3                the directory returns this number of boxes
 //	await used entry-1 plain-1 /look/1       a request is sent to this server and succeeds
-//	await avoids entry-1 plain-1 /look/1 40 200   no request reaches this server, see cmdCheckAvoided
+//	await avoided entry-1 plain-1 /look/1 40 200   no request reaches this server, see cmdCheckAvoided
 func (w *testDeployment) cmdAwait(args []string) error {
 	switch args[0] {
 	case "ready":
@@ -521,7 +521,7 @@
 			tries++
 			return w.cmdRequest([]string{args[1], fmt.Sprintf("await-%s-%d", args[4], tries), args[2], args[3], args[4]})
 		})
-	case "avoids":
+	case "avoided":
 		return w.await(func() error { return w.cmdCheckAvoided(args[1:]) })
 	case "used":
 		return w.await(func() error { return w.checkUsed(args[1], args[2], args[3]) })
@@ -590,7 +590,7 @@
 }
 
 // cmdCheckHealthy checks that no server has recorded a violation, which is a request that must never be sent to it:
-// sound.
+// check-healthy.
 func (w *testDeployment) cmdCheckHealthy([]string) error {
 	for name, s := range w.servers {
 		if violations := s.Violations(); len(violations) > 0 {
--- a/internal/direct/ratelimitload_test.go
+++ b/internal/direct/ratelimitload_test.go
@@ -76,7 +76,7 @@
 // cmdCheckRateLimit checks that a server received no more requests than its rate limit allows and, in its last
 // seconds, at least the given part of that:
 //
-//	limited plain-1 0.8 4
+//	check-limit plain-1 0.8 4
 func (w *testDeployment) cmdCheckRateLimit(args []string) error {
 	requests := sinceLimited(w.servers[args[0]].ReceivedRequests())
 	w.loadResults.mu.Lock()
@@ -181,7 +181,7 @@
 
 // cmdCheckRefused checks how many requests of the last load were refused with a Retry-After header:
 //
-//	refused 300 700
+//	check-refused 300 700
 func (w *testDeployment) cmdCheckRefused(args []string) error {
 	w.loadResults.mu.Lock()
 	defer w.loadResults.mu.Unlock()
--- a/internal/direct/ratelimitsapi_test.go
+++ b/internal/direct/ratelimitsapi_test.go
@@ -13,7 +13,7 @@
 // cmdCheckListedLimit checks the rate limit that an entry box lists for a server, and that requests to it are
 // counted:
 //
-//	limits entry-1 plain-1 1.9
+//	check-listed-limit entry-1 plain-1 1.9
 func (w *testDeployment) cmdCheckListedLimit(args []string) error {
 	url := "http://" + w.settingsByName[args[0]].Listen.Metrics + direct.RateLimitsPath
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, http.NoBody)
--- a/internal/direct/serversignals_test.go
+++ b/internal/direct/serversignals_test.go
@@ -22,12 +22,12 @@
 // cmdAwaitSignal sends requests to an entry box until a server has responded to one with a departure or a
 // requested backoff, and the box has responded to the caller:
 //
-//	told entry-1 plain-1 /look/1
+//	await-signal entry-1 plain-1 /look/1
 func (w *testDeployment) cmdAwaitSignal(args []string) error {
 	tries := 0
 	return w.await(func() error {
 		tries++
-		id := fmt.Sprintf("told-%s-%s-%d", args[0], args[1], tries)
+		id := fmt.Sprintf("await-signal-%s-%s-%d", args[0], args[1], tries)
 		if _, err := w.status(args[0], id, args[2]); err != nil {
 			return err
 		}
@@ -50,7 +50,7 @@
 // cmdCheckAvoided sends requests to an entry box. None of them may reach the given server before the end of its
 // requested backoff, or ever if it has requested none, and all of them must get the given status:
 //
-//	avoids entry-1 plain-1 /look/1 40 200
+//	check-avoided entry-1 plain-1 /look/1 40 200
 func (w *testDeployment) cmdCheckAvoided(args []string) error {
 	backoffUntil := time.Time{}
 	for _, received := range w.servers[args[1]].ReceivedRequests() {
@@ -61,7 +61,7 @@
 	before, reached := len(w.servers[args[1]].ReceivedRequests()), 0
 	count, want := parseInt(args[3], 0), parseInt(args[4], http.StatusOK)
 	for i := range count {
-		status, err := w.status(args[0], fmt.Sprintf("avoids-%s-%d-%d", args[1], before, i), args[2])
+		status, err := w.status(args[0], fmt.Sprintf("check-avoided-%s-%d-%d", args[1], before, i), args[2])
 		if err != nil {
 			return err
 		}
@@ -95,9 +95,9 @@
 
 // cmdCheckRetryAfter sends a request that must be refused with a Retry-After of at least a number of seconds:
 //
-//	later entry-1 /look/1 1.0
+//	check-retry-after entry-1 /look/1 1.0
 func (w *testDeployment) cmdCheckRetryAfter(args []string) error {
-	response, err := w.request(args[0], fmt.Sprintf("later-%d", w.requestCount.Add(1)), args[1], "key-1")
+	response, err := w.request(args[0], fmt.Sprintf("check-retry-after-%d", w.requestCount.Add(1)), args[1], "key-1")
 	if err != nil {
 		return err
 	}
--- a/internal/direct/suspend_test.go
+++ b/internal/direct/suspend_test.go
@@ -33,7 +33,7 @@
 }
 
 // cmdStopAfter stops a process in a planned stop and checks that the stop takes at least a duration:
-// stays entry-1 3s.
+// stop-after entry-1 3s.
 func (w *testDeployment) cmdStopAfter(args []string) error {
 	minimum, err := time.ParseDuration(args[1])
 	if err != nil {
