--- a/internal/direct/outage_test.go
+++ b/internal/direct/outage_test.go
@@ -78,12 +78,12 @@
 
 func (s *silentStore) source() provider.FactSource {
 	return provider.FactSource{
-		Snapshot: func(ctx context.Context) (provider.FactBatch, error) { return s.answer(ctx, 0, 0) },
-		Changes:  s.answer, Reconnect: s.reconnect,
+		Snapshot: func(ctx context.Context) (provider.FactBatch, error) { return s.factsAfter(ctx, 0, 0) },
+		Changes:  s.factsAfter, Reconnect: s.reconnect,
 	}
 }
 
-func (s *silentStore) answer(ctx context.Context, after fleet.Revision, wait time.Duration) (provider.FactBatch, error) {
+func (s *silentStore) factsAfter(ctx context.Context, after fleet.Revision, wait time.Duration) (provider.FactBatch, error) {
 	end := time.After(wait)
 	s.mu.Lock()
 	disconnected := s.disconnected
--- a/internal/direct/run.go
+++ b/internal/direct/run.go
@@ -101,7 +101,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// conclude writes the final response to a request that no attempt has answered.
+// conclude ends a request that no attempt has completed: with an error response or, if the response has started, by
+// closing the connection.
 func (s *CallerServer) conclude(ctx context.Context, x *exchange, mayHaveRunErr, lastErr error) {
 	switch {
 	case x.started:
--- a/pkg/route/forecast.go
+++ b/pkg/route/forecast.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// minRetryAfter is the shortest time after which a rejected caller is told to retry.
+	// minRetryAfter is the shortest Retry-After value given to a rejected caller.
 	minRetryAfter = 100 * time.Millisecond
 	// maxRetryAfterDivisor limits the time to a retry: it is at most the caller's remaining time
 	// divided by this number.
@@ -78,7 +78,7 @@
 
 // outOfService returns the period in which a server cannot run requests, as far as it is known. An
 // outage of unknown duration is assumed to last as long again as it has lasted (Lindy's law): after
-// a power failure all servers return within one or two seconds, and a server that has been away for
+// a power failure all servers return within one or two seconds, and a server that has been down for
 // a minute is not waited for.
 func (d *Dispatcher) outOfService(b *backend, now time.Time) (from, to time.Time) {
 	switch {
--- a/pkg/route/queue.go
+++ b/pkg/route/queue.go
@@ -216,7 +216,7 @@
 	return late + d.totalPeerDemand(now).Late
 }
 
-// scheduledRetries are the times at which rejected callers were told to retry, in ascending order.
+// scheduledRetries are the times at which rejected callers are due to retry, in ascending order.
 type scheduledRetries []time.Time
 
 func (s *scheduledRetries) add(at time.Time) {
--- a/pkg/weights/swapwindow_test.go
+++ b/pkg/weights/swapwindow_test.go
@@ -13,8 +13,8 @@
 		publishedAt := time.Unix(1000, 0)
 		bound := time.Duration(rapid.IntRange(100, 60_000).Draw(t, "bound")) * time.Millisecond
 		servers := rapid.IntRange(1, 50).Draw(t, "servers")
-		window := SwapWindow{Published: publishedAt, Cutoff: publishedAt.Add(bound), Position: rapid.IntRange(0, servers-1).Draw(t, "place"), Servers: servers}
-		downloaded := publishedAt.Add(time.Duration(rapid.IntRange(0, 60_000).Draw(t, "whole")) * time.Millisecond)
+		window := SwapWindow{Published: publishedAt, Cutoff: publishedAt.Add(bound), Position: rapid.IntRange(0, servers-1).Draw(t, "position"), Servers: servers}
+		downloaded := publishedAt.Add(time.Duration(rapid.IntRange(0, 60_000).Draw(t, "downloaded")) * time.Millisecond)
 		at := window.Start(downloaded)
 		if at.Before(downloaded) {
 			t.Fatalf("swap at %v, before the download completes at %v", at, downloaded)
