--- a/internal/direct/attempt.go
+++ b/internal/direct/attempt.go
@@ -34,15 +34,15 @@
 )
 
 // attempt sends the request to one server and forwards the response.
-func (s *CallerServer) attempt(ctx context.Context, x *exchange, slot *route.Reservation, wd *watchdog) (outcome, error) {
+func (s *CallerServer) attempt(ctx context.Context, x *exchange, reservation *route.Reservation, wd *watchdog) (outcome, error) {
 	now := s.clock.Now()
 	if now.After(x.deadline) {
-		slot.Release(route.ResultAbandoned, now)
+		reservation.Release(route.ResultAbandoned, now)
 		return outcomeNotExecuted, context.DeadlineExceeded
 	}
-	resp, err := s.pool.Send(ctx, s.upstreamRequest(x, slot, now))
+	resp, err := s.pool.Send(ctx, s.upstreamRequest(x, reservation, now))
 	if err != nil {
-		return s.sendFailed(x, slot, wd.withCause(err))
+		return s.sendFailed(x, reservation, wd.withCause(err))
 	}
 	x.attempts++
 	meta := s.protocol.ReadResponse(resp.Response)
@@ -53,25 +53,25 @@
 			result = route.ResultReplaced
 			x.misdirected++
 		}
-		s.finishAttempt(x, slot, result, errNotExecuted)
+		s.finishAttempt(x, reservation, result, errNotExecuted)
 		return outcomeNotExecuted, errNotExecuted
 	}
 	defer resp.Close()
 	switch {
 	case resp.StatusCode < 300 && !meta.Signed || resp.Header.Get("Content-Encoding") != "":
-		s.finishAttempt(x, slot, route.ResultFailed, errUnsigned)
+		s.finishAttempt(x, reservation, route.ResultFailed, errUnsigned)
 		return outcomeUnknown, errUnsigned
 	case resp.StatusCode >= 500 && s.mayRetry(x):
-		s.finishAttempt(x, slot, route.ResultFailed, errServerFailed)
+		s.finishAttempt(x, reservation, route.ResultFailed, errServerFailed)
 		return outcomeUnknown, errServerFailed
 	case x.started && resp.StatusCode != http.StatusOK:
-		s.finishAttempt(x, slot, route.ResultFailed, errServerFailed)
+		s.finishAttempt(x, reservation, route.ResultFailed, errServerFailed)
 		return outcomeStreamBroken, errServerFailed
 	}
 	if x.route.Kind == fleet.KindStream && strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		return s.forwardStream(x, slot, resp, wd)
+		return s.forwardStream(x, reservation, resp, wd)
 	}
-	return s.forwardBody(x, slot, resp)
+	return s.forwardBody(x, reservation, resp)
 }
 
 // Errors of attempts.
@@ -87,28 +87,28 @@
 }
 
 // upstreamRequest returns the request to send to the server of a reservation.
-func (s *CallerServer) upstreamRequest(x *exchange, slot *route.Reservation, now time.Time) *upstream.Request {
+func (s *CallerServer) upstreamRequest(x *exchange, reservation *route.Reservation, now time.Time) *upstream.Request {
 	header := x.request.Header.Clone()
 	upstream.RemoveHopByHopHeaders(header)
 	out := provider.OutboundMetadata{
-		Server: slot.Server.ID, Deadline: x.deadline.Sub(now), LastEventID: x.lastEventID, Priority: -1,
+		Server: reservation.Server.ID, Deadline: x.deadline.Sub(now), LastEventID: x.lastEventID, Priority: -1,
 	}
 	if x.organisation != nil {
 		out.Organisation = x.organisation.Name
 	}
 	request := &upstream.Request{
-		Address: slot.Server.Address, ID: x.ID, Method: x.request.Method, Target: x.request.RequestURI, Host: x.request.Host,
+		Address: reservation.Server.Address, ID: x.ID, Method: x.request.Method, Target: x.request.RequestURI, Host: x.request.Host,
 		Header: header, Body: x.body,
 		BeforeSend: func() error {
-			if s.isPastCutoff(x.service, slot) {
+			if s.isPastCutoff(x.service, reservation) {
 				return errPastCutoff
 			}
 			if s.quarantineDecision(x).Blocked {
 				return route.ErrQuarantined
 			}
-			return slot.Check(s.clock.Now())
+			return reservation.Check(s.clock.Now())
 		},
-		OnResponse: func(resp *http.Response) { s.handleSignals(x, slot, resp) },
+		OnResponse: func(resp *http.Response) { s.handleSignals(x, reservation, resp) },
 	}
 	if service := s.fleetState.View().Service(x.service); service != nil && service.Engine != nil && len(service.Engine.Models) > 0 {
 		out.Priority = s.priority(x)
@@ -118,11 +118,11 @@
 		}
 		published := s.fleetState.View().PublishedVersions(service.Engine.Models[0])
 		newest := published.Newest()
-		if s.requiredVersion(published, now) > 0 || !newest.PublishedAt.IsZero() && slot.Version == newest.Version {
+		if s.requiredVersion(published, now) > 0 || !newest.PublishedAt.IsZero() && reservation.Version == newest.Version {
 			// The known version may be that of an earlier incarnation of the server. A server with the newest
 			// version can't have got a newer one since, so the version is required. A server with an older
 			// version may have, so it is required only once older versions are past the cutoff.
-			out.Version = slot.Version
+			out.Version = reservation.Version
 		}
 	}
 	s.protocol.WriteRequest(header, out)
@@ -130,25 +130,25 @@
 }
 
 // sendFailed handles an attempt that got no response.
-func (s *CallerServer) sendFailed(x *exchange, slot *route.Reservation, err error) (outcome, error) {
+func (s *CallerServer) sendFailed(x *exchange, reservation *route.Reservation, err error) (outcome, error) {
 	if x.request.Context().Err() != nil {
-		s.finishAttempt(x, slot, route.ResultAbandoned, err)
+		s.finishAttempt(x, reservation, route.ResultAbandoned, err)
 		return outcomeCallerGone, err
 	}
 	if isLocalAbort(err) && !upstream.MayHaveRun(err) {
 		// The box did not send the request, so the server is not at fault.
-		s.finishAttempt(x, slot, route.ResultAbandoned, err)
+		s.finishAttempt(x, reservation, route.ResultAbandoned, err)
 		return outcomeNotExecuted, err
 	}
 	if !upstream.MayHaveRun(err) {
-		s.finishAttempt(x, slot, route.ResultUnreachable, err)
-		s.pool.CloseIdle(slot.Server.Address)
+		s.finishAttempt(x, reservation, route.ResultUnreachable, err)
+		s.pool.CloseIdle(reservation.Server.Address)
 		// No byte was sent, so this does not count as an attempt.
 		x.unreachable++
 		return outcomeNotExecuted, err
 	}
 	x.attempts++
-	s.failAttempt(x, slot, err)
+	s.failAttempt(x, reservation, err)
 	return outcomeUnknown, err
 }
 
@@ -159,15 +159,15 @@
 }
 
 // finishAttempt releases the reservation and records the result of the attempt.
-func (s *CallerServer) finishAttempt(x *exchange, slot *route.Reservation, result route.Result, err error) {
+func (s *CallerServer) finishAttempt(x *exchange, reservation *route.Reservation, result route.Result, err error) {
 	now := s.clock.Now()
-	heldFor := slot.HeldFor(now)
-	slot.Release(result, now)
+	heldFor := reservation.HeldFor(now)
+	reservation.Release(result, now)
 	s.metrics.attempts.WithLabelValues(string(x.service), result.String()).Inc()
 	if result != route.ResultDone {
-		s.log.Info().Str("request", x.ID).Str("server", string(slot.Server.ID)).Str("address", string(slot.Server.Address)).
-			Uint64("weights", uint64(slot.Version)).Str("result", result.String()).Dur("held_ms", heldFor).
-			Str("content", x.contentID().String()).Dur("answering_ms", slot.RespondingFor(now)).Str("last_event", x.lastEventID).Err(err).Msg("attempt ended")
+		s.log.Info().Str("request", x.ID).Str("server", string(reservation.Server.ID)).Str("address", string(reservation.Server.Address)).
+			Uint64("weights", uint64(reservation.Version)).Str("result", result.String()).Dur("held_ms", heldFor).
+			Str("content", x.contentID().String()).Dur("answering_ms", reservation.RespondingFor(now)).Str("last_event", x.lastEventID).Err(err).Msg("attempt ended")
 	}
 }
 
@@ -195,8 +195,8 @@
 const responseBufferSize = 64 << 10
 
 // forwardBody forwards a response that is not an event stream.
-func (s *CallerServer) forwardBody(x *exchange, slot *route.Reservation, resp *upstream.Response) (outcome, error) {
-	slot.Started(s.clock.Now())
+func (s *CallerServer) forwardBody(x *exchange, reservation *route.Reservation, resp *upstream.Response) (outcome, error) {
+	reservation.Started(s.clock.Now())
 	buffer := make([]byte, 0, min(responseBufferSize, max(512, int(resp.ContentLength)+1)))
 	var err error
 	for err == nil && len(buffer) < responseBufferSize {
@@ -208,21 +208,21 @@
 		buffer = buffer[:len(buffer)+n]
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		return s.bodyFailed(x, slot, err)
+		return s.bodyFailed(x, reservation, err)
 	}
 	s.forwardHeader(x, resp)
 	if _, writeErr := x.writer.Write(buffer); writeErr != nil {
-		s.finishAttempt(x, slot, route.ResultAbandoned, writeErr)
+		s.finishAttempt(x, reservation, route.ResultAbandoned, writeErr)
 		return outcomeCallerGone, writeErr
 	}
 	if err == nil {
 		if _, err = io.Copy(x.writer, resp); err != nil {
-			s.failAttempt(x, slot, err)
+			s.failAttempt(x, reservation, err)
 			return outcomeTruncated, err
 		}
 	}
 	s.recordSuccess(x)
-	s.finishAttempt(x, slot, resultOf(resp), nil)
+	s.finishAttempt(x, reservation, resultOf(resp), nil)
 	return outcomeDone, nil
 }
 
@@ -235,11 +235,11 @@
 }
 
 // bodyFailed handles a response that failed before any of it was forwarded.
-func (s *CallerServer) bodyFailed(x *exchange, slot *route.Reservation, err error) (outcome, error) {
+func (s *CallerServer) bodyFailed(x *exchange, reservation *route.Reservation, err error) (outcome, error) {
 	if x.request.Context().Err() != nil {
-		s.finishAttempt(x, slot, route.ResultAbandoned, err)
+		s.finishAttempt(x, reservation, route.ResultAbandoned, err)
 		return outcomeCallerGone, err
 	}
-	s.failAttempt(x, slot, err)
+	s.failAttempt(x, reservation, err)
 	return outcomeUnknown, err
 }
--- a/internal/direct/callerserver.go
+++ b/internal/direct/callerserver.go
@@ -356,11 +356,11 @@
 // isPastCutoff reports whether the version of a reservation may no longer start a request. The cutoff may have
 // passed since the reservation was made, for example if the machine was suspended. In this case the dispatcher
 // is updated at once, rather than within dispatcherUpdateInterval, so that no other request gets the slot.
-func (s *CallerServer) isPastCutoff(name member.Service, slot *route.Reservation) bool {
+func (s *CallerServer) isPastCutoff(name member.Service, reservation *route.Reservation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	model, ok := s.models[name]
-	if !ok || slot.Version >= s.requiredVersion(s.fleetState.View().PublishedVersions(model), s.clock.Now()) {
+	if !ok || reservation.Version >= s.requiredVersion(s.fleetState.View().PublishedVersions(model), s.clock.Now()) {
 		return false
 	}
 	s.updateDispatcher(name, s.dispatchers[name])
--- a/internal/direct/callerserver_test.go
+++ b/internal/direct/callerserver_test.go
@@ -220,16 +220,16 @@
 	hasRoom := func(service member.Service) bool {
 		d := s.dispatcher(service)
 		now := clock.Now()
-		slot, waiting, _ := d.Submit(&route.SlotRequest{
+		reservation, waiting, _ := d.Submit(&route.SlotRequest{
 			Arrived: now, Objective: now.Add(time.Second), Deadline: now.Add(2 * time.Second),
-		}, func(slot *route.Reservation) { slot.Release(route.ResultAbandoned, now) }, now)
+		}, func(reservation *route.Reservation) { reservation.Release(route.ResultAbandoned, now) }, now)
 		if waiting != nil {
 			d.Cancel(waiting)
 		}
-		if slot != nil {
-			slot.Release(route.ResultAbandoned, now)
+		if reservation != nil {
+			reservation.Release(route.ResultAbandoned, now)
 		}
-		return slot != nil
+		return reservation != nil
 	}
 	full, half := route.ServerLoad{Requests: 4}, route.ServerLoad{Requests: 2}
 	s.MergePeerReport("entry-2", route.Load{"maps": half, "tiles": full, "names": full}, nil, true, clock.Now())
--- a/internal/direct/cutoff_test.go
+++ b/internal/direct/cutoff_test.go
@@ -144,13 +144,13 @@
 
 // acquireSlot returns a reservation whose response has not started, and the number of times that it was
 // aborted.
-func (c *cutoffTest) acquireSlot() (slot *route.Reservation, aborted *int) {
+func (c *cutoffTest) acquireSlot() (reservation *route.Reservation, aborted *int) {
 	c.t.Helper()
-	slot, err := c.server.acquireSlot(c.t.Context(), c.newExchange(), nil)
+	reservation, err := c.server.acquireSlot(c.t.Context(), c.newExchange(), nil)
 	require.NoError(c.t, err)
 	aborted = new(int)
-	slot.OnVersionCutoff(func() { *aborted++ })
-	return slot, aborted
+	reservation.OnVersionCutoff(func() { *aborted++ })
+	return reservation, aborted
 }
 
 // newExchange returns an exchange for a stream with a caller timeout of one minute.
@@ -236,13 +236,13 @@
 	x := c.newExchange()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	slot, err := c.server.acquireSlot(ctx, x, nil)
+	reservation, err := c.server.acquireSlot(ctx, x, nil)
 	require.NoError(t, err)
 	c.clock.Advance(testVersionBound - cutoffMargin)
 	x.deadline = c.clock.Now().Add(time.Minute)
 	done := make(chan error, 1)
 	go func() {
-		_, err := c.server.attempt(ctx, x, slot, c.server.startWatchdog(ctx, x, nil))
+		_, err := c.server.attempt(ctx, x, reservation, c.server.startWatchdog(ctx, x, nil))
 		done <- err
 	}()
 	select {
@@ -258,10 +258,10 @@
 // would truncate every running stream.
 func TestStartedResponseContinuesPastCutoff(t *testing.T) {
 	c := newCutoffTest(t, "a")
-	slot, aborted := c.acquireSlot()
+	reservation, aborted := c.acquireSlot()
 	c.publishSecond()
 	c.clock.Advance(testVersionBound - time.Second)
-	slot.Started(c.clock.Now())
+	reservation.Started(c.clock.Now())
 	c.clock.Advance(time.Minute)
 	c.updateDispatcher()
 	require.Zero(t, *aborted)
@@ -281,9 +281,9 @@
 
 func TestFinishedAttemptIsNotAborted(t *testing.T) {
 	c := newCutoffTest(t, "a")
-	slot, aborted := c.acquireSlot()
+	reservation, aborted := c.acquireSlot()
 	c.publishSecond()
-	slot.Release(route.ResultDone, c.clock.Now())
+	reservation.Release(route.ResultDone, c.clock.Now())
 	c.clock.Advance(time.Minute)
 	c.updateDispatcher()
 	require.Zero(t, *aborted)
@@ -348,9 +348,9 @@
 	for reason, unreachable := range map[error]int{errNoProgress: 1, errNotStarted: 0, errPastCutoff: 0} {
 		c := newCutoffTest(t, "a:1")
 		x := c.newExchange()
-		slot, err := c.server.acquireSlot(t.Context(), x, nil)
+		reservation, err := c.server.acquireSlot(t.Context(), x, nil)
 		require.NoError(t, err)
-		result, _ := c.server.sendFailed(x, slot, fmt.Errorf("%w: %w", reason, upstream.ErrNotSent))
+		result, _ := c.server.sendFailed(x, reservation, fmt.Errorf("%w: %w", reason, upstream.ErrNotSent))
 		require.Equal(t, outcomeNotExecuted, result)
 		require.Equal(t, unreachable, x.unreachable, reason)
 	}
--- a/internal/direct/responseheaders.go
+++ b/internal/direct/responseheaders.go
@@ -11,40 +11,40 @@
 
 // handleSignals processes the signals in the response headers of a backend server. They apply whatever the
 // outcome of the request is, so they are not handled together with the outcome.
-func (s *CallerServer) handleSignals(x *exchange, slot *route.Reservation, resp *http.Response) {
+func (s *CallerServer) handleSignals(x *exchange, reservation *route.Reservation, resp *http.Response) {
 	meta := s.protocol.ReadResponse(resp)
-	server := string(slot.Server.ID)
+	server := string(reservation.Server.ID)
 	if meta.ParseErr != nil {
 		s.log.Warn().Str("request", x.ID).Str("server", server).Err(meta.ParseErr).Msg("server's word not read")
 	}
 	if meta.Leaving {
 		s.metrics.serverSignals.WithLabelValues("leaving").Inc()
-		s.handleLeaving(x, slot)
+		s.handleLeaving(x, reservation)
 	}
-	s.handleRateLimit(x, slot, &meta, resp)
+	s.handleRateLimit(x, reservation, &meta, resp)
 	if meta.Backoff > 0 {
 		backoff, now := min(meta.Backoff, maxBackoff), s.clock.Now()
-		slot.BackOff(now.Add(backoff), now)
+		reservation.BackOff(now.Add(backoff), now)
 		s.metrics.serverSignals.WithLabelValues("rest").Inc()
-		s.log.Info().Str("request", x.ID).Str("server", server).Uint64("incarnation", uint64(slot.Incarnation)).Int("status", resp.StatusCode).
+		s.log.Info().Str("request", x.ID).Str("server", server).Uint64("incarnation", uint64(reservation.Incarnation)).Int("status", resp.StatusCode).
 			Dur("asked_ms", meta.Backoff).Dur("rest_ms", backoff).Msg("server asks for rest")
 	}
 }
 
 // handleRateLimit records the rate limit in a response. A response without one clears the limit, unless it is
 // an interim response, comes from another server or has headers that could not be parsed.
-func (s *CallerServer) handleRateLimit(x *exchange, slot *route.Reservation, meta *provider.ResponseMetadata, resp *http.Response) {
+func (s *CallerServer) handleRateLimit(x *exchange, reservation *route.Reservation, meta *provider.ResponseMetadata, resp *http.Response) {
 	if meta.RateLimit.Set {
 		s.metrics.serverSignals.WithLabelValues("limit").Inc()
 	} else if resp.StatusCode < http.StatusOK || meta.Misdirected || meta.ParseErr != nil {
 		return
 	}
-	sent := slot.ReservedAt()
+	sent := reservation.ReservedAt()
 	if meta.RequestID != x.ID && meta.RequestID != "" {
 		// The response belongs to another request, whose send time is unknown.
 		sent = time.Time{}
 	}
-	if s.fleetState.ObserveRateLimit(slot.Server.ID, slot.Incarnation, meta.RateLimit, sent, "request "+x.ID) {
+	if s.fleetState.ObserveRateLimit(reservation.Server.ID, reservation.Incarnation, meta.RateLimit, sent, "request "+x.ID) {
 		s.updateServiceDispatcher(x.service)
 	}
 }
@@ -52,9 +52,9 @@
 // handleLeaving handles a server's signal that it will leave. The dispatcher is updated before the response is
 // forwarded, so that no request that the caller sends afterwards goes to that server. This also holds if
 // another response has just carried the same signal.
-func (s *CallerServer) handleLeaving(x *exchange, slot *route.Reservation) {
-	s.fleetState.ObserveDeparture(slot.Server.ID, slot.Incarnation, "request "+x.ID)
-	if slot.IsLeaving() {
+func (s *CallerServer) handleLeaving(x *exchange, reservation *route.Reservation) {
+	s.fleetState.ObserveDeparture(reservation.Server.ID, reservation.Incarnation, "request "+x.ID)
+	if reservation.IsLeaving() {
 		return
 	}
 	s.updateServiceDispatcher(x.service)
--- a/internal/direct/run.go
+++ b/internal/direct/run.go
@@ -27,23 +27,23 @@
 	var next *route.Reservation
 	var mayHaveRunErr, lastErr error
 	for x.attempts < x.route.MaxAttempts && x.unreachable < maxUnreachable {
-		slot, err := s.nextSlot(ctx, x, next, tried)
+		reservation, err := s.nextReservation(ctx, x, next, tried)
 		if err != nil {
 			lastErr = err
 			break
 		}
-		tried = append(tried, slot.Server.ID)
+		tried = append(tried, reservation.Server.ID)
 		wd := s.startWatchdog(ctx, x, tried)
-		slot.OnVersionCutoff(wd.abortNotStarted)
-		result, err := s.attempt(wd.ctx, x, slot, wd)
+		reservation.OnVersionCutoff(wd.abortNotStarted)
+		result, err := s.attempt(wd.ctx, x, reservation, wd)
 		next = wd.stop(result, s.clock.Now())
 		switch result {
 		case outcomeDone:
-			s.finish(x, "answered").Str("server", string(slot.Server.ID)).Uint64("weights", uint64(slot.Version)).Msg("request answered")
+			s.finish(x, "answered").Str("server", string(reservation.Server.ID)).Uint64("weights", uint64(reservation.Version)).Msg("request answered")
 			return
 		case outcomeCallerGone:
 			s.noteRejected(x)
-			s.finish(x, "left").Str("server", string(slot.Server.ID)).Msg("caller left")
+			s.finish(x, "left").Str("server", string(reservation.Server.ID)).Msg("caller left")
 			return
 		case outcomeTruncated:
 			s.abort(x, err)
@@ -64,8 +64,8 @@
 	s.conclude(ctx, x, mayHaveRunErr, lastErr)
 }
 
-// nextSlot returns the reservation for the next attempt: the given one or, if it is nil, a new one.
-func (s *CallerServer) nextSlot(ctx context.Context, x *exchange, reserved *route.Reservation, tried []fleet.ServerID) (*route.Reservation, error) {
+// nextReservation returns the reservation for the next attempt: the given one or, if it is nil, a new one.
+func (s *CallerServer) nextReservation(ctx context.Context, x *exchange, reserved *route.Reservation, tried []fleet.ServerID) (*route.Reservation, error) {
 	if err := s.checkQuarantine(ctx, x); err != nil {
 		if reserved != nil {
 			reserved.Release(route.ResultAbandoned, s.clock.Now())
--- a/internal/direct/serverexits.go
+++ b/internal/direct/serverexits.go
@@ -101,26 +101,26 @@
 }
 
 // failAttempt finishes an attempt that may have run and got no complete response.
-func (s *CallerServer) failAttempt(x *exchange, slot *route.Reservation, err error) {
+func (s *CallerServer) failAttempt(x *exchange, reservation *route.Reservation, err error) {
 	result := route.ResultFailed
-	if isDisconnect(err) && s.serverExited(x, slot) {
+	if isDisconnect(err) && s.serverExited(x, reservation) {
 		result = route.ResultServerExited
 	}
-	s.finishAttempt(x, slot, result, err)
+	s.finishAttempt(x, reservation, result, err)
 }
 
 // serverExited reports whether the server of a failed connection has exited. If it exited shortly after it
 // began to run the request, and without announcing its departure, the request becomes suspect.
-func (s *CallerServer) serverExited(x *exchange, slot *route.Reservation) bool {
+func (s *CallerServer) serverExited(x *exchange, reservation *route.Reservation) bool {
 	now := s.clock.Now()
-	if slot.IsLeaving() || !slot.IsListed() {
+	if reservation.IsLeaving() || !reservation.IsListed() {
 		return false
 	}
-	exited := s.exitProbes.hasExited(slot.ServerIncarnation(), slot.Server.Address, slot.ReservedAt())
-	if slot.RespondingFor(now) >= safeResponseDuration || s.recentResponses.remove(x, now) {
+	exited := s.exitProbes.hasExited(reservation.ServerIncarnation(), reservation.Server.Address, reservation.ReservedAt())
+	if reservation.RespondingFor(now) >= safeResponseDuration || s.recentResponses.remove(x, now) {
 		return exited
 	}
-	evidence := route.Evidence{Content: x.contentID(), Exited: s.suspects.IncarnationAt(slot.ServerIncarnation(), slot.ReservedAt()), At: now}
+	evidence := route.Evidence{Content: x.contentID(), Exited: s.suspects.IncarnationAt(reservation.ServerIncarnation(), reservation.ReservedAt()), At: now}
 	if exited {
 		s.suspects.Observe(evidence, "request "+x.ID)
 	} else {
--- a/internal/direct/stream.go
+++ b/internal/direct/stream.go
@@ -85,7 +85,7 @@
 
 // forwardStream forwards events as they arrive. A stream that fails can be resumed at another server after the
 // last forwarded event.
-func (s *CallerServer) forwardStream(x *exchange, slot *route.Reservation, resp *upstream.Response, wd *watchdog) (outcome, error) {
+func (s *CallerServer) forwardStream(x *exchange, reservation *route.Reservation, resp *upstream.Response, wd *watchdog) (outcome, error) {
 	reader := &eventReader{source: resp}
 	flush := http.NewResponseController(x.writer)
 	succeeded := false
@@ -99,10 +99,10 @@
 				s.forwardHeader(x, resp)
 			}
 			s.recordSuccess(x)
-			s.finishAttempt(x, slot, route.ResultDone, nil)
+			s.finishAttempt(x, reservation, route.ResultDone, nil)
 			return outcomeDone, nil
 		case err != nil:
-			return s.streamFailed(x, slot, wd.withCause(err))
+			return s.streamFailed(x, reservation, wd.withCause(err))
 		}
 		if !x.started {
 			resp.Header.Del("Content-Length")
@@ -110,8 +110,8 @@
 		}
 		wd.extend(streamStallTimeout)
 		x.noteForwarded(s.clock.Now())
-		slot.Started(s.clock.Now())
-		if !succeeded && slot.RespondingFor(s.clock.Now()) >= safeResponseDuration {
+		reservation.Started(s.clock.Now())
+		if !succeeded && reservation.RespondingFor(s.clock.Now()) >= safeResponseDuration {
 			succeeded = true
 			s.recordSuccess(x)
 		}
@@ -119,7 +119,7 @@
 			err = flush.Flush()
 		}
 		if err != nil {
-			s.finishAttempt(x, slot, route.ResultAbandoned, err)
+			s.finishAttempt(x, reservation, route.ResultAbandoned, err)
 			return outcomeCallerGone, err
 		}
 		if id != "" {
@@ -137,12 +137,12 @@
 }
 
 // streamFailed handles a stream that failed.
-func (s *CallerServer) streamFailed(x *exchange, slot *route.Reservation, err error) (outcome, error) {
+func (s *CallerServer) streamFailed(x *exchange, reservation *route.Reservation, err error) (outcome, error) {
 	if x.request.Context().Err() != nil {
-		s.finishAttempt(x, slot, route.ResultAbandoned, err)
+		s.finishAttempt(x, reservation, route.ResultAbandoned, err)
 		return outcomeCallerGone, err
 	}
-	s.failAttempt(x, slot, err)
+	s.failAttempt(x, reservation, err)
 	if !x.started {
 		return outcomeUnknown, err
 	}
--- a/internal/direct/watchdog.go
+++ b/internal/direct/watchdog.go
@@ -20,10 +20,10 @@
 	// cancel aborts the attempt with a cause.
 	cancel context.CancelCauseFunc
 
-	mu       sync.Mutex
-	timer    clockwork.Timer
-	stopped  bool
-	nextSlot *route.Reservation
+	mu              sync.Mutex
+	timer           clockwork.Timer
+	stopped         bool
+	nextReservation *route.Reservation
 }
 
 const (
@@ -58,16 +58,16 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.timer = s.clock.AfterFunc(timeout, func() {
-		slot, err := dispatcher.Acquire(w.ctx, req, s.clock)
+		reservation, err := dispatcher.Acquire(w.ctx, req, s.clock)
 		if err != nil {
 			w.extend(watchdogRetryDelay)
 			return
 		}
-		if !budget.AllowRetry(s.retryExtra(), s.clock.Now()) || !w.setNextSlot(slot) {
-			slot.Release(route.ResultAbandoned, s.clock.Now())
+		if !budget.AllowRetry(s.retryExtra(), s.clock.Now()) || !w.setNextReservation(reservation) {
+			reservation.Release(route.ResultAbandoned, s.clock.Now())
 			return
 		}
-		s.log.Info().Str("request", id).Str("server", string(slot.Server.ID)).Msg("no progress, going on at another server")
+		s.log.Info().Str("request", id).Str("server", string(reservation.Server.ID)).Msg("no progress, going on at another server")
 		w.cancel(errNoProgress)
 	})
 	return w
@@ -99,19 +99,19 @@
 func (w *watchdog) extend(timeout time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.timer != nil && !w.stopped && w.nextSlot == nil {
+	if w.timer != nil && !w.stopped && w.nextReservation == nil {
 		w.timer.Reset(timeout)
 	}
 }
 
-// setNextSlot stores the reservation for the next attempt. It returns false if the attempt has ended.
-func (w *watchdog) setNextSlot(slot *route.Reservation) bool {
+// setNextReservation stores the reservation for the next attempt. It returns false if the attempt has ended.
+func (w *watchdog) setNextReservation(reservation *route.Reservation) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.stopped || w.nextSlot != nil {
+	if w.stopped || w.nextReservation != nil {
 		return false
 	}
-	w.nextSlot = slot
+	w.nextReservation = reservation
 	return true
 }
 
@@ -125,9 +125,9 @@
 	if w.timer != nil {
 		w.timer.Stop()
 	}
-	if w.nextSlot != nil && result != outcomeUnknown && result != outcomeStreamBroken && result != outcomeNotExecuted {
-		w.nextSlot.Release(route.ResultAbandoned, now)
+	if w.nextReservation != nil && result != outcomeUnknown && result != outcomeStreamBroken && result != outcomeNotExecuted {
+		w.nextReservation.Release(route.ResultAbandoned, now)
 		return nil
 	}
-	return w.nextSlot
+	return w.nextReservation
 }
