--- a/internal/daemon/swarm.go
+++ b/internal/daemon/swarm.go
@@ -113,7 +113,7 @@
 			return manifest, true
 		}
 		l.options.Metrics.chunkFaults.WithLabelValues("peer", "manifest").Inc()
-		l.options.Log.Warn().Str("peer", string(address)).Err(err).Msg("manifest from a peer is invalid; trying the next neighbour")
+		l.options.Log.Warn().Str("peer", string(address)).Err(err).Msg("manifest from peer is invalid; trying another source")
 	}
 	return nil, false
 }
@@ -121,7 +121,7 @@
 func (l *Loader) manifestFromSource(ctx context.Context, job *versionJob) (*weights.Manifest, error) {
 	content, err := readManifest(ctx, l.options.Sources, job.pinned.Model, job.pinned.Version)
 	if err != nil {
-		return nil, fmt.Errorf("reading the manifest: %w", err)
+		return nil, fmt.Errorf("reading manifest from weight sources: %w", err)
 	}
 	manifest, err := weights.Parse(content, job.pinned.Manifest)
 	if err != nil {
