--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -25,7 +25,7 @@
 }
 
 func FuzzResponse(f *testing.F) {
-	archive, err := txtar.ParseFile("testdata/answers.txtar")
+	archive, err := txtar.ParseFile("testdata/responses.txtar")
 	require.NoError(f, err)
 	require.NotEmpty(f, archive.Files)
 	for _, file := range archive.Files {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -173,7 +173,7 @@
 	} else {
 		go func() { response.writeResult <- c.write(request) }()
 	}
-	response.Response, err = c.readMatching(request) //nolint:bodyclose // Answer.Close ends it
+	response.Response, err = c.readMatching(request) //nolint:bodyclose // Response.Close closes it
 	if err != nil {
 		response.Close()
 		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
