--- a/internal/lab/caller.go
+++ b/internal/lab/caller.go
@@ -5,193 +5,193 @@
 )
 
 const (
-	// connectRetry is after which time a caller that reached no entry box tries again.
-	connectRetry = 100 * time.Millisecond
-	// retryPart is the part of its remaining time for which a caller waits as it is told.
-	retryPart = 3
+	// connectRetryInterval is after which time a caller that reached no entry box tries again.
+	connectRetryInterval = 100 * time.Millisecond
+	// retryWaitDivisor is the part of its remaining time for which a caller waits as it is told.
+	retryWaitDivisor = 3
 )
 
 // caller asks for one answer.
 type caller struct {
-	world  *world
-	region int
-	kind   *Kind
-	prompt int
-	answer int
-	first  time.Time
-	tries  int
+	sim            *simulation
+	region         int
+	kind           *RequestKind
+	promptTokens   int
+	responseTokens int
+	arrivedAt      time.Time
+	attempts       int
 	// events is how many events have come, begun when the first did, last the newest.
-	events int
-	begun  time.Time
-	last   time.Time
-	pause  time.Duration
-	// sent is when the present try began.
-	sent    time.Time
+	events      int
+	firstEvent  time.Time
+	lastEvent   time.Time
+	maxEventGap time.Duration
+	// sentAt is when the present try began.
+	sentAt  time.Time
 	request *request
 	done    bool
 }
 
-func newCaller(w *world, region int, kind *Kind) *caller {
+func newCaller(w *simulation, region int, kind *RequestKind) *caller {
 	return &caller{
-		world: w, region: region, kind: kind, first: w.Now(),
-		prompt: w.draw(kind.Prompt, kind.PromptSpread), answer: w.draw(kind.Answer, kind.AnswerSpread),
+		sim: w, region: region, kind: kind, arrivedAt: w.Now(),
+		promptTokens: w.randomSize(kind.Prompt, kind.PromptSpread), responseTokens: w.randomSize(kind.Response, kind.ResponseSpread),
 	}
 }
 
-// unwritten is how many tokens of the answer have not come yet.
-func (c *caller) unwritten() int {
-	return max(1, c.answer-c.events*c.world.deployment.Engine.EventTokens)
+// remainingTokens is how many tokens of the answer have not come yet.
+func (c *caller) remainingTokens() int {
+	return max(1, c.responseTokens-c.events*c.sim.deployment.Engine.EventTokens)
 }
 
-func (c *caller) remaining() time.Duration { return c.first.Add(c.kind.Deadline).Sub(c.world.Now()) }
+func (c *caller) timeLeft() time.Duration { return c.arrivedAt.Add(c.kind.Deadline).Sub(c.sim.Now()) }
 
 // send asks an entry box of the region.
 func (c *caller) send() {
 	if c.done {
 		return
 	}
-	if c.remaining() <= 0 {
-		c.end(OutcomeFailed)
+	if c.timeLeft() <= 0 {
+		c.finish(OutcomeFailed)
 		return
 	}
-	if c.tries == 0 {
-		c.world.AfterFunc(c.kind.Deadline, func() {
+	if c.attempts == 0 {
+		c.sim.AfterFunc(c.kind.Deadline, func() {
 			if !c.done {
-				c.leave()
+				c.abandon()
 			}
 		})
 	}
 	var near []*box
-	for _, b := range c.world.boxes {
+	for _, b := range c.sim.boxes {
 		if b.region == c.region && b.up {
 			near = append(near, b)
 		}
 	}
 	if len(near) == 0 {
-		c.world.AfterFunc(connectRetry, c.send)
+		c.sim.AfterFunc(connectRetryInterval, c.send)
 		return
 	}
-	b := near[c.world.random.IntN(len(near))]
-	c.tries++
-	c.sent = c.world.Now()
-	life := b.life
-	c.world.AfterFunc(c.world.deployment.CallerDelay, func() {
+	b := near[c.sim.random.IntN(len(near))]
+	c.attempts++
+	c.sentAt = c.sim.Now()
+	life := b.incarnation
+	c.sim.AfterFunc(c.sim.deployment.CallerDelay, func() {
 		if c.done {
 			return
 		}
-		if b.life != life {
-			c.lost(nil)
+		if b.incarnation != life {
+			c.disconnected(nil)
 			return
 		}
 		c.request = b.serve(c)
 		c.watchBox(c.request)
-		c.watchSilence(c.request)
+		c.watchTimeout(c.request)
 	})
 }
 
 // watchBox notices when the entry box has been killed.
 func (c *caller) watchBox(r *request) {
-	c.world.AfterFunc(connectRetry, func() {
+	c.sim.AfterFunc(connectRetryInterval, func() {
 		switch {
-		case c.done || c.request != r || r.ended:
-		case r.box.life != r.life:
-			c.lost(r)
+		case c.done || c.request != r || r.done:
+		case r.box.incarnation != r.incarnation:
+			c.disconnected(r)
 		default:
 			c.watchBox(r)
 		}
 	})
 }
 
-// watchSilence lets the caller leave after a silence.
-func (c *caller) watchSilence(r *request) {
-	since := c.sent
-	if c.last.After(since) {
-		since = c.last
+// watchTimeout lets the caller leave after a silence.
+func (c *caller) watchTimeout(r *request) {
+	since := c.sentAt
+	if c.lastEvent.After(since) {
+		since = c.lastEvent
 	}
-	c.world.AfterFunc(since.Add(c.kind.Patience).Sub(c.world.Now()), func() {
-		if c.done || c.request != r || r.ended {
+	c.sim.AfterFunc(since.Add(c.kind.CallerTimeout).Sub(c.sim.Now()), func() {
+		if c.done || c.request != r || r.done {
 			return
 		}
-		if c.last.After(since) {
-			c.watchSilence(r)
+		if c.lastEvent.After(since) {
+			c.watchTimeout(r)
 			return
 		}
-		c.leave()
+		c.abandon()
 	})
 }
 
-// event takes an event.
-func (c *caller) event(r *request) {
+// receiveEvent takes an event.
+func (c *caller) receiveEvent(r *request) {
 	if c.done || c.request != r {
 		return
 	}
-	now := c.world.Now()
+	now := c.sim.Now()
 	if c.events == 0 {
-		c.begun = now
+		c.firstEvent = now
 	} else {
-		c.pause = max(c.pause, now.Sub(c.last))
+		c.maxEventGap = max(c.maxEventGap, now.Sub(c.lastEvent))
 	}
 	c.events++
-	c.last = now
+	c.lastEvent = now
 }
 
-// whole takes the end of the answer.
-func (c *caller) whole(r *request) {
+// complete takes the end of the answer.
+func (c *caller) complete(r *request) {
 	if c.done || c.request != r {
 		return
 	}
-	if c.begun.Sub(c.first) <= c.kind.Objective && c.pause <= c.kind.Pause {
-		c.end(OutcomeInTime)
+	if c.firstEvent.Sub(c.arrivedAt) <= c.kind.Objective && c.maxEventGap <= c.kind.MaxEventGap {
+		c.finish(OutcomeInTime)
 		return
 	}
-	c.end(OutcomeLate)
+	c.finish(OutcomeLate)
 }
 
-// refused comes back when it was told to, if it may.
-func (c *caller) refused(r *request, wait time.Duration) {
+// rejected comes back when it was told to, if it may.
+func (c *caller) rejected(r *request, wait time.Duration) {
 	if c.done || c.request != r {
 		return
 	}
-	if c.tries > c.kind.Retries {
-		c.end(OutcomeRefused)
+	if c.attempts > c.kind.Retries {
+		c.finish(OutcomeRejected)
 		return
 	}
-	c.world.AfterFunc(min(wait, c.remaining()/retryPart), c.send)
+	c.sim.AfterFunc(min(wait, c.timeLeft()/retryWaitDivisor), c.send)
 }
 
-// broken comes back after an answer that broke off.
-func (c *caller) broken(r *request) {
+// truncated comes back after an answer that broke off.
+func (c *caller) truncated(r *request) {
 	if c.done || c.request != r {
 		return
 	}
-	if c.tries > c.kind.Retries {
-		c.end(OutcomeFailed)
+	if c.attempts > c.kind.Retries {
+		c.finish(OutcomeFailed)
 		return
 	}
 	c.send()
 }
 
-// lost comes back after its entry box was killed.
-func (c *caller) lost(r *request) {
+// disconnected comes back after its entry box was killed.
+func (c *caller) disconnected(r *request) {
 	if c.done || r != nil && c.request != r {
 		return
 	}
-	if c.tries > c.kind.Retries {
-		c.end(OutcomeFailed)
+	if c.attempts > c.kind.Retries {
+		c.finish(OutcomeFailed)
 		return
 	}
 	c.send()
 }
 
-// leave gives up.
-func (c *caller) leave() {
+// abandon gives up.
+func (c *caller) abandon() {
 	if r := c.request; r != nil {
-		c.world.AfterFunc(c.world.deployment.CallerDelay, r.drop)
+		c.sim.AfterFunc(c.sim.deployment.CallerDelay, r.cancel)
 	}
-	c.end(OutcomeFailed)
+	c.finish(OutcomeFailed)
 }
 
-func (c *caller) end(outcome Outcome) {
+func (c *caller) finish(outcome Outcome) {
 	c.done = true
-	c.world.result.add(c, outcome)
+	c.sim.result.add(c, outcome)
 }
--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -22,22 +22,22 @@
 	// fleet has in production.
 	Cells  int
 	Engine Engine
-	Kinds  []Kind
+	Kinds  []RequestKind
 	// RegionDelay is the time of a message between two regions, BoxDelay within one,
 	// CallerDelay between a caller and an entry box; all one way.
 	RegionDelay time.Duration
 	BoxDelay    time.Duration
 	CallerDelay time.Duration
-	// TellInterval is how often an entry box tells the others what it has in flight.
-	TellInterval time.Duration
-	// FarTellInterval is how often it tells those of other regions, if that is less often.
-	FarTellInterval time.Duration
+	// ReportInterval is how often an entry box tells the others what it has in flight.
+	ReportInterval time.Duration
+	// RemoteReportInterval is how often it tells those of other regions, if that is less often.
+	RemoteReportInterval time.Duration
 	// MaxAttempts is to how many servers one request may be sent.
 	MaxAttempts int
-	// Steps is how the traffic changes in the course of time.
-	Steps []Step
-	// Length is for how long callers ask.
-	Length time.Duration
+	// LoadSteps is how the traffic changes in the course of time.
+	LoadSteps []LoadStep
+	// Duration is for how long callers ask.
+	Duration time.Duration
 }
 
 // Region holds entry boxes and servers, and is asked for a part of the traffic.
@@ -47,8 +47,8 @@
 	Share float64
 }
 
-// Step sets the traffic, as a part of the kinds' rates, from a moment on.
-type Step struct {
+// LoadStep sets the traffic, as a part of the kinds' rates, from a moment on.
+type LoadStep struct {
 	At    time.Duration
 	Level float64
 }
@@ -57,41 +57,41 @@
 type Engine struct {
 	// Slots is how many requests run at once, Queue how many more are let in.
 	Slots, Queue int
-	// Step is the time of one token step, StepTimePerRequest what each request adds that
+	// StepTime is the time of one token step, StepTimePerRequest what each request adds that
 	// writes.
-	Step           time.Duration
-	StepPerRequest time.Duration
-	// Stride is how many token steps are played in a pass.
-	Stride int
+	StepTime           time.Duration
+	StepTimePerRequest time.Duration
+	// StepsBetweenPrefills is how many token steps are played in a pass.
+	StepsBetweenPrefills int
 	// PrefillTokensPerSecond is the rate at which prompts are read, PrefillChunkTokens how many tokens
 	// are read in a step.
-	ReadPerSecond float64
-	ReadAtOnce    int
+	PrefillTokensPerSecond float64
+	PrefillChunkTokens     int
 	// EventTokens is how many tokens are told at once.
 	EventTokens int
-	// First is added to the time to the first token.
-	First time.Duration
+	// FirstTokenDelay is added to the time to the first token.
+	FirstTokenDelay time.Duration
 }
 
-// Kind is a kind of request.
-type Kind struct {
+// RequestKind is a kind of request.
+type RequestKind struct {
 	Name string
 	// PerSecond is the rate of all regions together at level 1.
 	PerSecond float64
 	// Prompt and Answer are mean numbers of tokens, the spreads the standard deviations
 	// of their logarithms.
-	Prompt, PromptSpread float64
-	Answer, AnswerSpread float64
-	Priority             int
-	Objective            time.Duration
-	Pause                time.Duration
-	Deadline             time.Duration
-	// Patience is after how long without an event callers leave.
-	Patience time.Duration
+	Prompt, PromptSpread     float64
+	Response, ResponseSpread float64
+	Priority                 int
+	Objective                time.Duration
+	MaxEventGap              time.Duration
+	Deadline                 time.Duration
+	// CallerTimeout is after how long without an event callers leave.
+	CallerTimeout time.Duration
 	// Retries is how often a caller comes back.
 	Retries int
-	// Worth is what an answer in time earns, LateWorth what a later one does.
-	Worth, LateWorth float64
+	// Value is what an answer in time earns, LateValue what a later one does.
+	Value, LateValue float64
 }
 
 // FaultKind names what goes wrong.
@@ -107,12 +107,12 @@
 	FaultServersSlow FaultKind = "servers-slow"
 	// FaultBoxesDown kills a part of the entry boxes; they are back after Down.
 	FaultBoxesDown FaultKind = "boxes-down"
-	// FaultBoxesCut cuts a part of the entry boxes off from all others for Down; callers and
+	// FaultBoxesPartitioned cuts a part of the entry boxes off from all others for Down; callers and
 	// servers still reach them.
-	FaultBoxesCut FaultKind = "boxes-cut"
-	// FaultServersRest lets a part of the servers turn all requests away for Down. Each time they ask the box for Rest,
+	FaultBoxesPartitioned FaultKind = "boxes-cut"
+	// FaultServersRejecting lets a part of the servers turn all requests away for Down. Each time they ask the box for Rest,
 	// or say nothing if that is 0.
-	FaultServersRest FaultKind = "servers-rest"
+	FaultServersRejecting FaultKind = "servers-rest"
 	// FaultServersLimited makes a part of the servers advertise a rate limit for Down.
 	FaultServersLimited FaultKind = "servers-limited"
 	// FaultBurst multiplies the traffic by Factor for Down.
@@ -125,11 +125,11 @@
 	At   time.Duration
 	// Share is the part of the servers or entry boxes that it strikes.
 	Share float64
-	// Down is how long each of them is struck, Over the time over which they are struck
+	// Duration is how long each of them is struck, Over the time over which they are struck
 	// one after the other.
-	Down time.Duration
-	Over time.Duration
-	Rest time.Duration
+	Duration   time.Duration
+	Spread     time.Duration
+	RetryAfter time.Duration
 	// Limit is the rate limit of each affected server, in requests per second.
 	Limit  float64
 	Factor float64
--- a/internal/lab/engine.go
+++ b/internal/lab/engine.go
@@ -10,14 +10,14 @@
 
 // job is one request at a server.
 type job struct {
-	prompt, answer int
-	// unread and unwritten are the tokens that are left.
-	unread, unwritten int
-	untold            int
-	// event is called at each event, ended once: with whole set after the last token.
-	event func()
-	ended func(whole bool)
-	gone  bool
+	promptTokens, responseTokens int
+	// remainingPrompt and unwritten are the tokens that are left.
+	remainingPrompt, remainingResponse int
+	unreported                         int
+	// onEvent is called at each event, ended once: with whole set after the last token.
+	onEvent func()
+	onEnd   func(whole bool)
+	dropped bool
 }
 
 // engine is a model server.
@@ -27,70 +27,70 @@
 	id     fleet.ServerID
 	region int
 	// boxes are the entry boxes of its cell.
-	boxes   []*box
-	line    *virtual.Timeline
-	running []*job
-	queue   []*job
+	boxes    []*box
+	timeline *virtual.Timeline
+	running  []*job
+	queue    []*job
 	// up is false while it is down, open while it takes new requests.
-	up, open bool
-	// turnsAway is set while it takes nothing and asks for rest, if that is not 0.
-	turnsAway bool
-	rest      time.Duration
-	// limited is set while the server has a rate limit.
-	limited *limitRecord
-	// resting are the rests that boxes have been asked for.
-	resting map[*box]restAsked
-	slow    float64
-	passing bool
-	// life changes when the server goes down, so that planned passes lapse.
-	life int
+	up, accepting bool
+	// rejecting is set while it takes nothing and asks for rest, if that is not 0.
+	rejecting  bool
+	retryAfter time.Duration
+	// limitRecord is set while the server has a rate limit.
+	limitRecord *limitRecord
+	// backoffs are the rests that boxes have been asked for.
+	backoffs map[*box]backoffWindow
+	slowdown float64
+	active   bool
+	// incarnation changes when the server goes down, so that planned passes lapse.
+	incarnation int
 }
 
-// restAsked is a rest that a server has asked a box for: it wants nothing from the box between two moments.
-type restAsked struct{ from, until time.Time }
+// backoffWindow is a rest that a server has asked a box for: it wants nothing from the box between two moments.
+type backoffWindow struct{ from, until time.Time }
 
-// restGrace is how long after a server has asked for rest what is on its way may still come.
-const restGrace = 500 * time.Millisecond
+// backoffGrace is how long after a server has asked for rest what is on its way may still come.
+const backoffGrace = 500 * time.Millisecond
 
-// turnAway asks a box for rest.
-func (e *engine) turnAway(b *box) {
-	if e.rest == 0 {
+// requestBackoff asks a box for rest.
+func (e *engine) requestBackoff(b *box) {
+	if e.retryAfter == 0 {
 		return
 	}
-	if e.resting == nil {
-		e.resting = make(map[*box]restAsked)
+	if e.backoffs == nil {
+		e.backoffs = make(map[*box]backoffWindow)
 	}
-	now := e.line.Now()
-	e.resting[b] = restAsked{from: now.Add(restGrace), until: now.Add(e.rest)}
+	now := e.timeline.Now()
+	e.backoffs[b] = backoffWindow{from: now.Add(backoffGrace), until: now.Add(e.retryAfter)}
 }
 
-// noteRest counts a request that comes within a rest that its box was asked for.
-func (e *engine) noteRest(b *box, result *Result) {
-	asked, ok := e.resting[b]
-	if now := e.line.Now(); ok && now.After(asked.from) && now.Before(asked.until) {
-		result.WithinRest++
+// countDuringBackoff counts a request that comes within a rest that its box was asked for.
+func (e *engine) countDuringBackoff(b *box, result *Result) {
+	asked, ok := e.backoffs[b]
+	if now := e.timeline.Now(); ok && now.After(asked.from) && now.Before(asked.until) {
+		result.DuringBackoff++
 	}
 }
 
 // submit takes a request; false if there is no room or the server is closed.
 func (e *engine) submit(j *job) bool {
-	if !e.up || !e.open || len(e.running)+len(e.queue) >= e.Slots+e.Queue {
+	if !e.up || !e.accepting || len(e.running)+len(e.queue) >= e.Slots+e.Queue {
 		return false
 	}
-	j.unread, j.unwritten, j.untold = j.prompt, j.answer, 0
+	j.remainingPrompt, j.remainingResponse, j.unreported = j.promptTokens, j.responseTokens, 0
 	e.queue = append(e.queue, j)
 	e.wake()
 	return true
 }
 
 // cancel drops a request whose caller has left.
-func (e *engine) cancel(j *job) { j.gone = true }
+func (e *engine) cancel(j *job) { j.dropped = true }
 
 func (e *engine) wake() {
-	if e.passing || !e.up {
+	if e.active || !e.up {
 		return
 	}
-	e.passing = true
+	e.active = true
 	e.pass()
 }
 
@@ -99,18 +99,18 @@
 func (e *engine) pass() {
 	e.admit()
 	if len(e.running) == 0 {
-		e.passing = false
+		e.active = false
 		return
 	}
-	writers, read := e.plan()
-	taken := time.Duration(float64(read) / e.ReadPerSecond * float64(time.Second))
+	writers, read := e.planPass()
+	taken := time.Duration(float64(read) / e.PrefillTokensPerSecond * float64(time.Second))
 	if writers > 0 {
-		taken += time.Duration(e.Stride) * (e.Step + time.Duration(writers)*e.StepPerRequest)
+		taken += time.Duration(e.StepsBetweenPrefills) * (e.StepTime + time.Duration(writers)*e.StepTimePerRequest)
 	}
-	life := e.life
-	e.line.AfterFunc(time.Duration(float64(taken)*e.slow), func() {
-		if life == e.life {
-			e.passed()
+	life := e.incarnation
+	e.timeline.AfterFunc(time.Duration(float64(taken)*e.slowdown), func() {
+		if life == e.incarnation {
+			e.finishPass()
 			e.pass()
 		}
 	})
@@ -120,7 +120,7 @@
 func (e *engine) admit() {
 	keep := e.running[:0]
 	for _, j := range e.running {
-		if !j.gone {
+		if !j.dropped {
 			keep = append(keep, j)
 		}
 	}
@@ -128,40 +128,40 @@
 	for len(e.queue) > 0 && len(e.running) < e.Slots {
 		j := e.queue[0]
 		e.queue = e.queue[1:]
-		if !j.gone {
+		if !j.dropped {
 			e.running = append(e.running, j)
 		}
 	}
 }
 
-// plan reads a piece of the prompts, the earliest first, and returns how many requests
+// planPass reads a piece of the prompts, the earliest first, and returns how many requests
 // write and how many tokens are read in the pass.
-func (e *engine) plan() (writers, read int) {
+func (e *engine) planPass() (writers, read int) {
 	for _, j := range e.running {
-		if j.unread == 0 {
+		if j.remainingPrompt == 0 {
 			writers++
 			continue
 		}
-		piece := min(j.unread, e.ReadAtOnce*e.Stride-read)
-		j.unread -= piece
+		piece := min(j.remainingPrompt, e.PrefillChunkTokens*e.StepsBetweenPrefills-read)
+		j.remainingPrompt -= piece
 		read += piece
-		if j.unread == 0 {
+		if j.remainingPrompt == 0 {
 			// The first token comes at the end of this pass.
-			j.untold = -1
+			j.unreported = -1
 		}
 	}
 	return writers, read
 }
 
-// passed tells what the pass has made.
-func (e *engine) passed() {
+// finishPass tells what the pass has made.
+func (e *engine) finishPass() {
 	ended := e.running[:0]
 	var whole []*job
 	for _, j := range e.running {
-		if j.gone {
+		if j.dropped {
 			continue
 		}
-		if e.write(j); j.unwritten > 0 {
+		if e.decode(j); j.remainingResponse > 0 {
 			ended = append(ended, j)
 			continue
 		}
@@ -169,44 +169,44 @@
 	}
 	e.running = ended
 	for _, j := range whole {
-		j.event()
-		j.ended(true)
+		j.onEvent()
+		j.onEnd(true)
 	}
 }
 
-// write plays the stride of one request.
-func (e *engine) write(j *job) {
+// decode plays the stride of one request.
+func (e *engine) decode(j *job) {
 	switch {
-	case j.untold < 0:
-		j.unwritten--
-		j.untold = 0
-		e.line.AfterFunc(e.First, func() { j.tell() })
-	case j.unread == 0:
-		tokens := min(e.Stride, j.unwritten)
-		j.unwritten -= tokens
-		if j.untold += tokens; j.untold >= e.EventTokens && j.unwritten > 0 {
-			j.untold = 0
-			j.event()
+	case j.unreported < 0:
+		j.remainingResponse--
+		j.unreported = 0
+		e.timeline.AfterFunc(e.FirstTokenDelay, func() { j.emit() })
+	case j.remainingPrompt == 0:
+		tokens := min(e.StepsBetweenPrefills, j.remainingResponse)
+		j.remainingResponse -= tokens
+		if j.unreported += tokens; j.unreported >= e.EventTokens && j.remainingResponse > 0 {
+			j.unreported = 0
+			j.onEvent()
 		}
 	}
 }
 
-func (j *job) tell() {
-	if !j.gone {
-		j.event()
+func (j *job) emit() {
+	if !j.dropped {
+		j.onEvent()
 	}
 }
 
 // stop ends all that runs and waits here.
 func (e *engine) stop() {
-	e.life++
-	e.passing = false
+	e.incarnation++
+	e.active = false
 	cut := slices.Concat(e.running, e.queue)
 	e.running, e.queue = nil, nil
 	for _, j := range cut {
-		if !j.gone {
-			j.gone = true
-			j.ended(false)
+		if !j.dropped {
+			j.dropped = true
+			j.onEnd(false)
 		}
 	}
 }
--- a/internal/lab/limit_test.go
+++ b/internal/lab/limit_test.go
@@ -11,51 +11,51 @@
 
 // limitFault makes a part of the servers advertise a rate limit.
 func limitFault(share, perSecond float64) Fault {
-	return Fault{Kind: FaultServersLimited, At: 3 * time.Second, Share: share, Down: 11 * time.Second, Limit: perSecond}
+	return Fault{Kind: FaultServersLimited, At: 3 * time.Second, Share: share, Duration: 11 * time.Second, Limit: perSecond}
 }
 
 // Guards against each entry box applying the whole rate limit of a server, and against leaving a limit unused under load.
-func TestServersGetTheirRateLimitFromAllBoxesTogether(t *testing.T) {
+func TestBoxesShareAndUseRateLimits(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		deployment *Deployment
 		limits     []float64
 	}{
-		{"9 boxes, 13 servers, 7 requests a second each", drafting(0.5), []float64{1, 1.9, 5}},
-		{"41 boxes, 76 servers, 6 requests a second each", fields(0.9), []float64{1, 1.9, 3}},
-		{"149 boxes, 204 servers, 4 requests a second each", drawing(0.9), []float64{1, 1.9}},
+		{"9 boxes, 13 servers, 7 requests a second each", smallDeployment(0.5), []float64{1, 1.9, 5}},
+		{"41 boxes, 76 servers, 6 requests a second each", mediumDeployment(0.9), []float64{1, 1.9, 3}},
+		{"149 boxes, 204 servers, 4 requests a second each", largeDeployment(0.9), []float64{1, 1.9}},
 	} {
 		for _, perSecond := range test.limits {
 			t.Run(fmt.Sprintf("%s, limit %v", test.name, perSecond), func(t *testing.T) {
 				t.Parallel()
 				deployment := *test.deployment
-				deployment.Length = 15 * time.Second
+				deployment.Duration = 15 * time.Second
 				result := Run(&deployment, []Fault{limitFault(0.15, perSecond)}, 1)
 				all := result.Between(3*time.Second, 14*time.Second)
-				t.Logf("excess %v, lowest use %.2f, in time %.3f", result.LimitExcess, result.lowestLimitUse(), all.Part(OutcomeInTime))
+				t.Logf("excess %v, lowest use %.2f, in time %.3f", result.LimitExcess, result.minLimitUtilization(), all.Share(OutcomeInTime))
 				require.Zero(t, result.LimitExcess)
-				require.Greater(t, result.lowestLimitUse(), 0.8)
+				require.Greater(t, result.minLimitUtilization(), 0.8)
 			})
 		}
 	}
 }
 
 // Guards against exceeding rate limits when boxes fail, or when reports between them are delayed or lost.
-func TestRateLimitsHoldWhileBoxesRestartAndAreCutOff(t *testing.T) {
+func TestRateLimitsHoldDuringFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		deployment := drafting(rapid.Float64Range(0.2, 1).Draw(t, "level"))
+		deployment := smallDeployment(rapid.Float64Range(0.2, 1).Draw(t, "level"))
 		boxes := rapid.IntRange(1, 8).Draw(t, "boxes")
 		for i := range deployment.Regions {
 			deployment.Regions[i].Boxes = boxes
 		}
-		deployment.TellInterval = time.Duration(rapid.IntRange(20, 100).Draw(t, "tell_ms")) * time.Millisecond
-		deployment.Length = 15 * time.Second
+		deployment.ReportInterval = time.Duration(rapid.IntRange(20, 100).Draw(t, "tell_ms")) * time.Millisecond
+		deployment.Duration = 15 * time.Second
 		faults := []Fault{
 			limitFault(rapid.Float64Range(0.1, 1).Draw(t, "share"), rapid.SampledFrom([]float64{0.05, 0.4, 1, 1.9, 5, 20}).Draw(t, "limit")),
 			{
-				Kind: rapid.SampledFrom([]FaultKind{FaultBoxesDown, FaultBoxesCut, FaultServersDown, FaultSwap, FaultBurst}).Draw(t, "kind"),
+				Kind: rapid.SampledFrom([]FaultKind{FaultBoxesDown, FaultBoxesPartitioned, FaultServersDown, FaultSwap, FaultBurst}).Draw(t, "kind"),
 				At:   6 * time.Second, Share: rapid.Float64Range(0.1, 0.9).Draw(t, "struck"), Factor: 2,
-				Down: time.Duration(rapid.IntRange(300, 4000).Draw(t, "down_ms")) * time.Millisecond,
+				Duration: time.Duration(rapid.IntRange(300, 4000).Draw(t, "down_ms")) * time.Millisecond,
 			},
 		}
 		result := Run(deployment, faults, rapid.Uint64Range(1, 1000).Draw(t, "seed"))
--- a/internal/lab/world.go
+++ b/internal/lab/simulation.go
@@ -14,45 +14,45 @@
 )
 
 const (
-	// usualTime and firstTime are what dispatchers start from.
-	usualTime = time.Second
-	firstTime = 120 * time.Millisecond
+	// initialHoldTime and initialTTFB are what dispatchers start from.
+	initialHoldTime = time.Second
+	initialTTFB     = 120 * time.Millisecond
 	// stateInterval is how often an agent tells of its server if nothing changes.
 	stateInterval = 400 * time.Millisecond
 	// weightsVersion is the version that all servers have.
 	weightsVersion fleet.WeightsVersion = 1
 )
 
-// world is one run of a deployment.
-type world struct {
+// simulation is one run of a deployment.
+type simulation struct {
 	virtual.Timeline
 	deployment *Deployment
 	random     *rand.Rand
 	boxes      []*box
 	servers    []*engine
-	listed     []fleet.Server
+	serverList []fleet.Server
 	byID       map[fleet.ServerID]*engine
-	// burst multiplies the traffic.
-	burst  float64
-	result *Result
+	// burstFactor multiplies the traffic.
+	burstFactor float64
+	result      *Result
 }
 
 // Run plays a deployment with faults. The same seed gives the same result.
 func Run(deployment *Deployment, faults []Fault, seed uint64) *Result {
-	w := &world{
-		deployment: deployment, random: rand.New(rand.NewPCG(seed, 1)), byID: make(map[fleet.ServerID]*engine), burst: 1,
+	w := &simulation{
+		deployment: deployment, random: rand.New(rand.NewPCG(seed, 1)), byID: make(map[fleet.ServerID]*engine), burstFactor: 1,
 		result: newResult(deployment),
 	}
 	w.build()
 	for i := range faults {
-		w.plan(&faults[i])
+		w.scheduleFault(&faults[i])
 	}
 	for region := range deployment.Regions {
 		for kind := range deployment.Kinds {
-			w.arrive(region, &deployment.Kinds[kind])
+			w.scheduleArrival(region, &deployment.Kinds[kind])
 		}
 	}
-	w.Run(deployment.Length + longestDeadline(deployment))
+	w.Run(deployment.Duration + longestDeadline(deployment))
 	return w.result
 }
 
@@ -65,16 +65,16 @@
 }
 
 // build makes the servers and the entry boxes.
-func (w *world) build() {
+func (w *simulation) build() {
 	for region, sizes := range w.deployment.Regions {
 		for range sizes.Servers {
 			e := &engine{
 				Engine: w.deployment.Engine, id: fleet.ServerID(fmt.Sprintf("server-%d", len(w.servers))), region: region,
-				line: &w.Timeline, up: true, open: true, slow: 1,
+				timeline: &w.Timeline, up: true, accepting: true, slowdown: 1,
 			}
 			w.servers = append(w.servers, e)
 			w.byID[e.id] = e
-			w.listed = append(w.listed, fleet.Server{
+			w.serverList = append(w.serverList, fleet.Server{
 				ID: e.id, Slots: e.Slots, Domain: domainOf(region),
 				Models: []fleet.LoadedModel{{Name: "model", Version: weightsVersion}},
 			})
@@ -82,21 +82,21 @@
 	}
 	for region, sizes := range w.deployment.Regions {
 		for range sizes.Boxes {
-			b := &box{world: w, id: member.BoxID(fmt.Sprintf("entry-%d", len(w.boxes))), region: region}
+			b := &box{sim: w, id: member.BoxID(fmt.Sprintf("entry-%d", len(w.boxes))), region: region}
 			w.boxes = append(w.boxes, b)
 		}
 	}
-	w.divide()
+	w.assignCells()
 	for _, b := range w.boxes {
 		b.start()
 	}
 	for _, e := range w.servers {
-		w.tellStates(e)
+		w.reportStatePeriodically(e)
 	}
 }
 
-// divide makes the cells, an equal part of each region in each.
-func (w *world) divide() {
+// assignCells makes the cells, an equal part of each region in each.
+func (w *simulation) assignCells() {
 	cells := w.deployment.Cells
 	if cells == 0 {
 		cells = member.CellCount(len(w.boxes), len(w.servers))
@@ -116,10 +116,10 @@
 	for _, b := range w.boxes {
 		for _, other := range w.boxes {
 			if other != b && ofBox[other.id] == ofBox[b.id] {
-				b.mates = append(b.mates, other)
+				b.peers = append(b.peers, other)
 			}
 		}
-		for _, server := range w.listed {
+		for _, server := range w.serverList {
 			if ofServer[server.ID] == ofBox[b.id] {
 				b.servers = append(b.servers, server)
 				w.byID[server.ID].boxes = append(w.byID[server.ID].boxes, b)
@@ -133,26 +133,26 @@
 }
 
 // delay is the time of a message between two regions, one way.
-func (w *world) delay(from, to int) time.Duration {
+func (w *simulation) delay(from, to int) time.Duration {
 	if from == to {
 		return w.deployment.BoxDelay
 	}
 	return w.deployment.RegionDelay
 }
 
-// tellStates tells the entry boxes of its cell of a server now and then.
-func (w *world) tellStates(e *engine) {
-	w.tellState(e)
-	w.AfterFunc(stateInterval, func() { w.tellStates(e) })
+// reportStatePeriodically tells the entry boxes of its cell of a server now and then.
+func (w *simulation) reportStatePeriodically(e *engine) {
+	w.reportState(e)
+	w.AfterFunc(stateInterval, func() { w.reportStatePeriodically(e) })
 }
 
-// tellState tells the entry boxes of its cell of a server.
-func (w *world) tellState(e *engine) {
+// reportState tells the entry boxes of its cell of a server.
+func (w *simulation) reportState(e *engine) {
 	if !e.up {
 		return
 	}
 	state := route.ServerState{
-		Version: weightsVersion, Swapping: !e.open, Running: len(e.running), Waiting: len(e.queue), Slowdown: e.slow,
+		Version: weightsVersion, Swapping: !e.accepting, Running: len(e.running), Waiting: len(e.queue), Slowdown: e.slowdown,
 	}
 	for _, b := range e.boxes {
 		w.AfterFunc(w.delay(e.region, b.region), func() {
@@ -163,19 +163,19 @@
 	}
 }
 
-// level is the present traffic as a part of the kinds' rates.
-func (w *world) level() float64 {
+// trafficLevel is the present traffic as a part of the kinds' rates.
+func (w *simulation) trafficLevel() float64 {
 	level := 1.0
-	for _, step := range w.deployment.Steps {
+	for _, step := range w.deployment.LoadSteps {
 		if step.At <= w.Elapsed() {
 			level = step.Level
 		}
 	}
-	return level * w.burst
+	return level * w.burstFactor
 }
 
-// arrive plans the next first request of a kind from a region.
-func (w *world) arrive(region int, kind *Kind) {
+// scheduleArrival plans the next first request of a kind from a region.
+func (w *simulation) scheduleArrival(region int, kind *RequestKind) {
 	rate := kind.PerSecond * w.deployment.Regions[region].Share
 	if rate <= 0 {
 		return
@@ -185,70 +185,70 @@
 	const highest = 4.0
 	wait := w.random.ExpFloat64() / (rate * highest)
 	w.AfterFunc(time.Duration(wait*float64(time.Second)), func() {
-		if w.Elapsed() >= w.deployment.Length {
+		if w.Elapsed() >= w.deployment.Duration {
 			return
 		}
-		if w.random.Float64() < w.level()/highest {
+		if w.random.Float64() < w.trafficLevel()/highest {
 			newCaller(w, region, kind).send()
 		}
-		w.arrive(region, kind)
+		w.scheduleArrival(region, kind)
 	})
 }
 
-// draw returns a size with a mean and a spread of its logarithm.
-func (w *world) draw(mean, spread float64) int {
+// randomSize returns a size with a mean and a spread of its logarithm.
+func (w *simulation) randomSize(mean, spread float64) int {
 	if spread <= 0 {
 		return max(1, int(mean))
 	}
 	return max(1, int(mean*math.Exp(spread*w.random.NormFloat64()-spread*spread/2)))
 }
 
-// plan lets a fault happen.
-func (w *world) plan(f *Fault) {
+// scheduleFault lets a fault happen.
+func (w *simulation) scheduleFault(f *Fault) {
 	switch f.Kind {
 	case FaultSwap:
-		w.each(f, w.struck(len(w.servers), f.Share), func(i int) { w.swap(w.servers[i], f.Down) })
+		w.scheduleEach(f, w.randomSubset(len(w.servers), f.Share), func(i int) { w.swap(w.servers[i], f.Duration) })
 	case FaultServersDown:
-		w.each(f, w.struck(len(w.servers), f.Share), func(i int) { w.crash(w.servers[i], f.Down) })
+		w.scheduleEach(f, w.randomSubset(len(w.servers), f.Share), func(i int) { w.crash(w.servers[i], f.Duration) })
 	case FaultServersSlow:
-		w.each(f, w.struck(len(w.servers), f.Share), func(i int) {
-			w.servers[i].slow = f.Factor
-			w.AfterFunc(f.Down, func() { w.servers[i].slow = 1 })
+		w.scheduleEach(f, w.randomSubset(len(w.servers), f.Share), func(i int) {
+			w.servers[i].slowdown = f.Factor
+			w.AfterFunc(f.Duration, func() { w.servers[i].slowdown = 1 })
 		})
-	case FaultServersRest:
-		w.each(f, w.struck(len(w.servers), f.Share), func(i int) {
-			w.servers[i].turnsAway, w.servers[i].rest = true, f.Rest
-			w.AfterFunc(f.Down, func() { w.servers[i].turnsAway = false })
+	case FaultServersRejecting:
+		w.scheduleEach(f, w.randomSubset(len(w.servers), f.Share), func(i int) {
+			w.servers[i].rejecting, w.servers[i].retryAfter = true, f.RetryAfter
+			w.AfterFunc(f.Duration, func() { w.servers[i].rejecting = false })
 		})
 	case FaultServersLimited:
-		w.each(f, w.struck(len(w.servers), f.Share), func(i int) {
+		w.scheduleEach(f, w.randomSubset(len(w.servers), f.Share), func(i int) {
 			w.servers[i].setLimit(f.Limit)
-			w.AfterFunc(f.Down, func() { w.servers[i].clearLimit(w.result) })
+			w.AfterFunc(f.Duration, func() { w.servers[i].clearLimit(w.result) })
 		})
 	case FaultBoxesDown:
-		w.each(f, w.struck(len(w.boxes), f.Share), func(i int) {
+		w.scheduleEach(f, w.randomSubset(len(w.boxes), f.Share), func(i int) {
 			w.boxes[i].kill()
-			w.AfterFunc(f.Down, w.boxes[i].start)
+			w.AfterFunc(f.Duration, w.boxes[i].start)
 		})
-	case FaultBoxesCut:
-		w.each(f, w.struck(len(w.boxes), f.Share), func(i int) {
-			w.boxes[i].cutOff, w.boxes[i].struck = true, true
-			w.AfterFunc(f.Down, func() { w.boxes[i].cutOff = false })
+	case FaultBoxesPartitioned:
+		w.scheduleEach(f, w.randomSubset(len(w.boxes), f.Share), func(i int) {
+			w.boxes[i].partitioned, w.boxes[i].hadFault = true, true
+			w.AfterFunc(f.Duration, func() { w.boxes[i].partitioned = false })
 		})
 	case FaultBurst:
-		w.AfterFunc(f.At, func() { w.burst *= f.Factor })
-		w.AfterFunc(f.At+f.Down, func() { w.burst /= f.Factor })
+		w.AfterFunc(f.At, func() { w.burstFactor *= f.Factor })
+		w.AfterFunc(f.At+f.Duration, func() { w.burstFactor /= f.Factor })
 	}
 }
 
-// struck draws a part of n things.
-func (w *world) struck(n int, share float64) []int {
+// randomSubset draws a part of n things.
+func (w *simulation) randomSubset(n int, share float64) []int {
 	return w.random.Perm(n)[:min(n, int(math.Ceil(share*float64(n))))]
 }
 
-func (w *world) each(f *Fault, struck []int, strike func(i int)) {
+func (w *simulation) scheduleEach(f *Fault, struck []int, strike func(i int)) {
 	for place, i := range struck {
-		w.AfterFunc(f.At+f.Over*time.Duration(place)/time.Duration(len(struck)), func() { strike(i) })
+		w.AfterFunc(f.At+f.Spread*time.Duration(place)/time.Duration(len(struck)), func() { strike(i) })
 	}
 }
 
@@ -257,18 +257,18 @@
 const swapNotice = 400 * time.Millisecond
 
 // swap takes a server out for new weights: what runs is cut, as it can go on elsewhere.
-func (w *world) swap(e *engine, down time.Duration) {
-	e.open = false
-	w.tellState(e)
+func (w *simulation) swap(e *engine, down time.Duration) {
+	e.accepting = false
+	w.reportState(e)
 	w.AfterFunc(swapNotice, e.stop)
 	w.AfterFunc(swapNotice+down, func() {
-		e.open = true
-		w.tellState(e)
+		e.accepting = true
+		w.reportState(e)
 	})
 }
 
 // crash ends a server. Its agent stays and tells that it holds nothing.
-func (w *world) crash(e *engine, down time.Duration) {
+func (w *simulation) crash(e *engine, down time.Duration) {
 	e.up = false
 	e.stop()
 	for _, b := range e.boxes {
@@ -280,6 +280,6 @@
 	}
 	w.AfterFunc(down, func() {
 		e.up = true
-		w.tellState(e)
+		w.reportState(e)
 	})
 }
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -15,7 +15,7 @@
 // # Usage
 //
 //	result := rig.Run(rig.Options{Boxes: 200, Regions: 3, Chunks: 400, Picker: weights.DefaultPickerOptions()})
-//	fmt.Println(result.Time/result.Bound, result.SourceCopies)
+//	fmt.Println(result.Time/result.Bound, result.OriginCopies)
 package rig
 
 import (
@@ -32,17 +32,17 @@
 const (
 	// copyTime is how long one copy takes over a box's link.
 	copyTime = 90 * time.Second
-	// sourceFactor is how much faster the source's link is.
-	sourceFactor = 2
+	// originRateFactor is how much faster the source's link is.
+	originRateFactor = 2
 	// domainsPerRegion is the number of failure domains of a region.
 	domainsPerRegion = 2
 
-	latency     = 3 * time.Millisecond
-	pollTime    = 200 * time.Millisecond
-	stallTime   = 2 * time.Second
-	refusedTime = time.Second
-	// silenceTime is how long a dead box is still thought to be up.
-	silenceTime = 4500 * time.Millisecond
+	latency        = 3 * time.Millisecond
+	pollInterval   = 200 * time.Millisecond
+	stallTimeout   = 2 * time.Second
+	connectTimeout = time.Second
+	// silenceTimeout is how long a dead box is still thought to be up.
+	silenceTimeout = 4500 * time.Millisecond
 )
 
 // Options says what is run.
@@ -50,12 +50,12 @@
 	Boxes   int
 	Regions int
 	Chunks  int
-	// Dying and Stalling are the parts of the boxes that die at a random time
+	// CrashShare and Stalling are the parts of the boxes that die at a random time
 	// within a copy time, and whose link up stands still from a random time.
-	Dying    float64
-	Stalling float64
-	Seed     uint64
-	Picker   weights.PickerOptions
+	CrashShare float64
+	StallShare float64
+	Seed       uint64
+	Picker     weights.PickerOptions
 }
 
 // Result is what a run came to.
@@ -63,9 +63,9 @@
 	// Time is when the last box that lives had the whole.
 	Time  time.Duration
 	Bound time.Duration
-	// SourceCopies is what the source sent, RegionCopies the most that any region
+	// OriginCopies is what the source sent, RegionCopies the most that any region
 	// got over long links, both in copies.
-	SourceCopies float64
+	OriginCopies float64
 	RegionCopies float64
 	// Decisions counts the fetches that were started.
 	Decisions int
@@ -74,53 +74,53 @@
 }
 
 type link struct {
-	free time.Duration
-	rate time.Duration
+	freeAt    time.Duration
+	chunkTime time.Duration
 }
 
 type box struct {
-	record   member.Record
-	picker   *weights.Picker
-	held     weights.Bits
-	up, down link
-	dead     bool
-	stalled  bool
-	done     time.Duration
+	record      member.Record
+	picker      *weights.Picker
+	held        weights.Bits
+	up, down    link
+	crashed     bool
+	stalled     bool
+	completedAt time.Duration
 }
 
 type run struct {
 	virtual.Timeline
-	options  Options
-	random   *rand.Rand
-	manifest *weights.Manifest
-	boxes    []*box
-	byName   map[string]*box
-	source   link
-	left     int
-	result   Result
-	sent     int
-	far      map[member.Region]int
+	options      Options
+	random       *rand.Rand
+	manifest     *weights.Manifest
+	boxes        []*box
+	byName       map[string]*box
+	origin       link
+	incomplete   int
+	result       Result
+	originChunks int
+	remoteChunks map[member.Region]int
 }
 
 // Run distributes one version to boxes that have nothing.
 func Run(options Options) Result {
 	r := &run{
 		options: options, random: rand.New(rand.NewPCG(options.Seed, 1)), manifest: newManifest(options.Chunks),
-		byName: make(map[string]*box), far: make(map[member.Region]int),
+		byName: make(map[string]*box), remoteChunks: make(map[member.Region]int),
 	}
 	chunkTime := copyTime / time.Duration(options.Chunks)
-	r.source = link{rate: chunkTime / sourceFactor}
+	r.origin = link{chunkTime: chunkTime / originRateFactor}
 	for i := range options.Boxes {
 		r.addBox(i, chunkTime)
 	}
-	r.left = len(r.boxes)
-	r.meet()
-	r.breakSome()
+	r.incomplete = len(r.boxes)
+	r.updatePeers()
+	r.scheduleFaults()
 	for i, b := range r.boxes {
-		r.AfterFunc(pollTime*time.Duration(i)/time.Duration(len(r.boxes)), func() { r.poll(b) })
+		r.AfterFunc(pollInterval*time.Duration(i)/time.Duration(len(r.boxes)), func() { r.poll(b) })
 	}
 	limit := time.Duration(options.Boxes+10) * copyTime
-	for r.left > 0 && r.Step(limit) {
+	for r.incomplete > 0 && r.Step(limit) {
 	}
 	return r.finish()
 }
@@ -144,22 +144,22 @@
 		},
 		picker: weights.NewPicker(r.manifest, name, nil, r.options.Picker, virtual.Epoch),
 		held:   weights.NewBits(r.options.Chunks),
-		up:     link{rate: chunkTime}, down: link{rate: chunkTime},
+		up:     link{chunkTime: chunkTime}, down: link{chunkTime: chunkTime},
 	}
 	r.boxes = append(r.boxes, b)
 	r.byName[name] = b
 }
 
-// meet tells every box that is up its neighbours and the drawers, as monitors do.
-func (r *run) meet() {
+// updatePeers tells every box that is up its neighbours and the drawers, as monitors do.
+func (r *run) updatePeers() {
 	var records []member.Record
 	for _, b := range r.boxes {
-		if !b.dead {
+		if !b.crashed {
 			records = append(records, b.record)
 		}
 	}
 	for _, b := range r.boxes {
-		if b.dead || b.done > 0 {
+		if b.crashed || b.completedAt > 0 {
 			continue
 		}
 		b.picker.SetNeighbours(peersOf(b.record, member.Neighbours(b.record, records)))
@@ -175,45 +175,45 @@
 	return peers
 }
 
-// breakSome lets boxes die and links stand still at random times. Deaths are
+// scheduleFaults lets boxes die and links stand still at random times. Deaths are
 // noticed in groups, a few seconds apart, to bound the work of the rig.
-func (r *run) breakSome() {
+func (r *run) scheduleFaults() {
 	for _, b := range r.boxes[1:] {
 		at := time.Duration(r.random.Float64() * float64(copyTime))
 		switch chance := r.random.Float64(); {
-		case chance < r.options.Dying:
+		case chance < r.options.CrashShare:
 			r.AfterFunc(at, func() {
-				b.dead = true
-				if b.done == 0 {
-					r.left--
+				b.crashed = true
+				if b.completedAt == 0 {
+					r.incomplete--
 				}
 			})
-		case chance < r.options.Dying+r.options.Stalling:
+		case chance < r.options.CrashShare+r.options.StallShare:
 			r.AfterFunc(at, func() { b.stalled = true })
 		}
 	}
-	if r.options.Dying > 0 {
-		for at := silenceTime; at < copyTime+2*silenceTime; at += silenceTime {
-			r.AfterFunc(at, r.meet)
+	if r.options.CrashShare > 0 {
+		for at := silenceTimeout; at < copyTime+2*silenceTimeout; at += silenceTimeout {
+			r.AfterFunc(at, r.updatePeers)
 		}
 	}
 }
 
 // poll asks the neighbours what they hold, as the agent does.
 func (r *run) poll(b *box) {
-	if b.dead || b.done > 0 {
+	if b.crashed || b.completedAt > 0 {
 		return
 	}
 	for _, name := range b.picker.BoxesToPoll() {
 		n := r.byName[name]
 		held := n.held
-		if n.dead {
+		if n.crashed {
 			held = nil
 		}
 		b.picker.SetHoldings(name, append(weights.Bits(nil), held...))
 	}
 	r.fetch(b)
-	r.AfterFunc(pollTime, func() { r.poll(b) })
+	r.AfterFunc(pollInterval, func() { r.poll(b) })
 }
 
 func (r *run) fetch(b *box) {
@@ -230,58 +230,58 @@
 func (r *run) transfer(b *box, task weights.FetchTask) {
 	from := r.byName[task.From]
 	switch {
-	case from != nil && from.dead:
-		r.AfterFunc(refusedTime, func() { r.failed(b, task) })
+	case from != nil && from.crashed:
+		r.AfterFunc(connectTimeout, func() { r.transferFailed(b, task) })
 	case from != nil && from.stalled:
-		r.AfterFunc(stallTime, func() { r.failed(b, task) })
+		r.AfterFunc(stallTimeout, func() { r.transferFailed(b, task) })
 	default:
-		up := &r.source
+		up := &r.origin
 		if from != nil {
 			up = &from.up
 		}
 		r.AfterFunc(r.send(up), func() {
-			r.AfterFunc(r.receive(&b.down), func() { r.arrived(b, from, task) })
+			r.AfterFunc(r.receive(&b.down), func() { r.transferCompleted(b, from, task) })
 		})
 	}
 }
 
 // send takes a transfer's turn on the sender's link and returns when it has gone.
 func (r *run) send(up *link) time.Duration {
-	up.free = max(r.Elapsed()+latency, up.free) + up.rate
-	return up.free - r.Elapsed()
+	up.freeAt = max(r.Elapsed()+latency, up.freeAt) + up.chunkTime
+	return up.freeAt - r.Elapsed()
 }
 
 // receive takes its turn on the receiver's link. A transfer that found the link
 // free has passed through while it was sent.
 func (r *run) receive(down *link) time.Duration {
-	down.free = max(r.Elapsed(), down.free+down.rate)
-	return down.free + latency - r.Elapsed()
+	down.freeAt = max(r.Elapsed(), down.freeAt+down.chunkTime)
+	return down.freeAt + latency - r.Elapsed()
 }
 
-func (r *run) failed(b *box, task weights.FetchTask) {
-	if !b.dead {
+func (r *run) transferFailed(b *box, task weights.FetchTask) {
+	if !b.crashed {
 		b.picker.Failed(task, r.Now().Add(time.Second))
 		r.fetch(b)
 	}
 }
 
-func (r *run) arrived(b, from *box, task weights.FetchTask) {
+func (r *run) transferCompleted(b, from *box, task weights.FetchTask) {
 	switch {
-	case b.dead:
+	case b.crashed:
 		return
-	case from != nil && (from.dead || from.stalled):
-		r.AfterFunc(stallTime, func() { r.failed(b, task) })
+	case from != nil && (from.crashed || from.stalled):
+		r.AfterFunc(stallTimeout, func() { r.transferFailed(b, task) })
 		return
 	case from == nil:
-		r.sent++
+		r.originChunks++
 	case from.record.Region != b.record.Region:
-		r.far[b.record.Region]++
+		r.remoteChunks[b.record.Region]++
 	}
 	b.picker.Done(task, r.Now())
 	b.held.Set(task.Chunk)
 	if b.picker.Missing() == 0 {
-		b.done = r.Elapsed()
-		r.left--
+		b.completedAt = r.Elapsed()
+		r.incomplete--
 		return
 	}
 	r.fetch(b)
@@ -290,15 +290,15 @@
 func (r *run) finish() Result {
 	r.result.Complete = true
 	for _, b := range r.boxes {
-		if b.dead {
+		if b.crashed {
 			continue
 		}
-		r.result.Time = max(r.result.Time, b.done)
-		r.result.Complete = r.result.Complete && b.done > 0
+		r.result.Time = max(r.result.Time, b.completedAt)
+		r.result.Complete = r.result.Complete && b.completedAt > 0
 	}
 	r.result.Bound = Bound(r.options.Boxes)
-	r.result.SourceCopies = float64(r.sent) / float64(r.options.Chunks)
-	for _, far := range r.far {
+	r.result.OriginCopies = float64(r.originChunks) / float64(r.options.Chunks)
+	for _, far := range r.remoteChunks {
 		r.result.RegionCopies = max(r.result.RegionCopies, float64(far)/float64(r.options.Chunks))
 	}
 	return r.result
@@ -306,15 +306,15 @@
 
 // Bound is the least time in which boxes can get the whole under the link model.
 func Bound(boxes int) time.Duration {
-	all := float64(boxes) * float64(copyTime) / (float64(boxes) + sourceFactor)
-	return max(copyTime, copyTime/sourceFactor, time.Duration(all))
+	all := float64(boxes) * float64(copyTime) / (float64(boxes) + originRateFactor)
+	return max(copyTime, copyTime/originRateFactor, time.Duration(all))
 }
 
-// AllFromSource is the baseline in which every box draws the whole itself.
-func AllFromSource(boxes int) Result {
+// AllFromOrigin is the baseline in which every box draws the whole itself.
+func AllFromOrigin(boxes int) Result {
 	return Result{
-		Time: max(copyTime, copyTime/sourceFactor*time.Duration(boxes)), Bound: Bound(boxes),
-		SourceCopies: float64(boxes), Complete: true,
+		Time: max(copyTime, copyTime/originRateFactor*time.Duration(boxes)), Bound: Bound(boxes),
+		OriginCopies: float64(boxes), Complete: true,
 	}
 }
 
@@ -331,5 +331,5 @@
 		}
 		last = max(last, done[i])
 	}
-	return Result{Time: last, Bound: Bound(boxes), SourceCopies: 1, Complete: true}
+	return Result{Time: last, Bound: Bound(boxes), OriginCopies: 1, Complete: true}
 }
