--- a/internal/lab/engine.go
+++ b/internal/lab/engine.go
@@ -8,205 +8,215 @@
 	"github.com/cinderslip/cinderslip/pkg/fleet"
 )
 
-// job is one request at a server.
+// job is a request at a server.
 type job struct {
-	prompt, answer int
-	// unread and unwritten are the tokens that are left.
-	unread, unwritten int
-	untold            int
-	// event is called at each event, ended once: with whole set after the last token.
-	event func()
-	ended func(whole bool)
-	gone  bool
+	promptTokens, responseTokens int
+	// remainingPrompt and remainingResponse are the tokens that are not processed or generated yet.
+	remainingPrompt, remainingResponse int
+	// unreported counts the tokens since the last event; -1 when the current pass completes the prefill.
+	unreported int
+	// onEvent is called for each event. onEnd is called once: with complete set after the last token, or without it if
+	// the server stops.
+	onEvent func()
+	onEnd   func(complete bool)
+	// dropped is set once the request is canceled or the server has stopped.
+	dropped bool
 }
 
-// engine is a model server.
+// engine is a simulated model server.
 type engine struct {
 	Engine
 
 	id     fleet.ServerID
 	region int
-	// boxes are the entry boxes of its cell.
-	boxes   []*box
-	line    *virtual.Timeline
-	running []*job
-	queue   []*job
-	// up is false while it is down, open while it takes new requests.
-	up, open bool
-	// turnsAway is set while it takes nothing and asks for rest, if that is not 0.
-	turnsAway bool
-	rest      time.Duration
-	// limited is set while the server has a rate limit.
-	limited *limitRecord
-	// resting are the rests that boxes have been asked for.
-	resting map[*box]restAsked
-	slow    float64
-	passing bool
-	// life changes when the server goes down, so that planned passes lapse.
-	life int
+	// boxes are the entry boxes of the server's cell.
+	boxes    []*box
+	timeline *virtual.Timeline
+	running  []*job
+	queue    []*job
+	// up is set while the server runs, accepting while it accepts requests.
+	up, accepting bool
+	// rejecting is set while the server rejects all requests. It then requests a backoff of retryAfter, unless that
+	// is 0.
+	rejecting  bool
+	retryAfter time.Duration
+	// limitRecord is non-nil while the server has a rate limit.
+	limitRecord *limitRecord
+	// backoffs are the last backoffs that the server requested, by box.
+	backoffs map[*box]backoffWindow
+	slowdown float64
+	// active is set while a pass is scheduled.
+	active bool
+	// incarnation changes when the server stops, which invalidates the scheduled pass.
+	incarnation int
 }
 
-// restAsked is a rest that a server has asked a box for: it wants nothing from the box between two moments.
-type restAsked struct{ from, until time.Time }
+// backoffWindow is the period in which a box must not send requests to a server that has requested a backoff.
+type backoffWindow struct{ from, until time.Time }
 
-// restGrace is how long after a server has asked for rest what is on its way may still come.
-const restGrace = 500 * time.Millisecond
+// backoffGrace is how long after a requested backoff requests may still arrive that were sent before the box received
+// it.
+const backoffGrace = 500 * time.Millisecond
 
-// turnAway asks a box for rest.
-func (e *engine) turnAway(b *box) {
-	if e.rest == 0 {
+// requestBackoff records that the server requests a backoff from a box.
+func (e *engine) requestBackoff(b *box) {
+	if e.retryAfter == 0 {
 		return
 	}
-	if e.resting == nil {
-		e.resting = make(map[*box]restAsked)
+	if e.backoffs == nil {
+		e.backoffs = make(map[*box]backoffWindow)
 	}
-	now := e.line.Now()
-	e.resting[b] = restAsked{from: now.Add(restGrace), until: now.Add(e.rest)}
+	now := e.timeline.Now()
+	e.backoffs[b] = backoffWindow{from: now.Add(backoffGrace), until: now.Add(e.retryAfter)}
 }
 
-// noteRest counts a request that comes within a rest that its box was asked for.
-func (e *engine) noteRest(b *box, result *Result) {
-	asked, ok := e.resting[b]
-	if now := e.line.Now(); ok && now.After(asked.from) && now.Before(asked.until) {
-		result.WithinRest++
+// countDuringBackoff counts a request that arrives during the backoff requested from its box.
+func (e *engine) countDuringBackoff(b *box, result *Result) {
+	window, ok := e.backoffs[b]
+	if now := e.timeline.Now(); ok && now.After(window.from) && now.Before(window.until) {
+		result.DuringBackoff++
 	}
 }
 
-// submit takes a request; false if there is no room or the server is closed.
+// submit queues a request and reports whether the server accepted it. It rejects requests while its queue is full,
+// during a weight swap and while it is down.
 func (e *engine) submit(j *job) bool {
-	if !e.up || !e.open || len(e.running)+len(e.queue) >= e.Slots+e.Queue {
+	if !e.up || !e.accepting || len(e.running)+len(e.queue) >= e.Slots+e.Queue {
 		return false
 	}
-	j.unread, j.unwritten, j.untold = j.prompt, j.answer, 0
+	j.remainingPrompt, j.remainingResponse, j.unreported = j.promptTokens, j.responseTokens, 0
 	e.queue = append(e.queue, j)
 	e.wake()
 	return true
 }
 
-// cancel drops a request whose caller has left.
-func (e *engine) cancel(j *job) { j.gone = true }
+// cancel drops a request whose caller has disconnected.
+func (e *engine) cancel(j *job) { j.dropped = true }
 
+// wake starts a pass if none is scheduled.
 func (e *engine) wake() {
-	if e.passing || !e.up {
+	if e.active || !e.up {
 		return
 	}
-	e.passing = true
+	e.active = true
 	e.pass()
 }
 
-// pass plays one pass over all that is there: a piece of the prompts that are unread
-// and a stride of token steps for those that write.
+// pass simulates one pass over the running requests: StepsBetweenPrefills token steps, each with up to
+// PrefillChunkTokens prompt tokens and one token of every request in the decode phase. It schedules the next pass for
+// the end of this one.
 func (e *engine) pass() {
 	e.admit()
 	if len(e.running) == 0 {
-		e.passing = false
+		e.active = false
 		return
 	}
-	writers, read := e.plan()
-	taken := time.Duration(float64(read) / e.ReadPerSecond * float64(time.Second))
-	if writers > 0 {
-		taken += time.Duration(e.Stride) * (e.Step + time.Duration(writers)*e.StepPerRequest)
+	decoding, prefilled := e.planPass()
+	duration := time.Duration(float64(prefilled) / e.PrefillTokensPerSecond * float64(time.Second))
+	if decoding > 0 {
+		duration += time.Duration(e.StepsBetweenPrefills) * (e.StepTime + time.Duration(decoding)*e.StepTimePerRequest)
 	}
-	life := e.life
-	e.line.AfterFunc(time.Duration(float64(taken)*e.slow), func() {
-		if life == e.life {
-			e.passed()
+	incarnation := e.incarnation
+	e.timeline.AfterFunc(time.Duration(float64(duration)*e.slowdown), func() {
+		if incarnation == e.incarnation {
+			e.finishPass()
 			e.pass()
 		}
 	})
 }
 
-// admit lets waiting requests into the batch.
+// admit removes dropped requests from the batch and fills it from the queue.
 func (e *engine) admit() {
-	keep := e.running[:0]
+	kept := e.running[:0]
 	for _, j := range e.running {
-		if !j.gone {
-			keep = append(keep, j)
+		if !j.dropped {
+			kept = append(kept, j)
 		}
 	}
-	e.running = keep
+	e.running = kept
 	for len(e.queue) > 0 && len(e.running) < e.Slots {
 		j := e.queue[0]
 		e.queue = e.queue[1:]
-		if !j.gone {
+		if !j.dropped {
 			e.running = append(e.running, j)
 		}
 	}
 }
 
-// plan reads a piece of the prompts, the earliest first, and returns how many requests
-// write and how many tokens are read in the pass.
-func (e *engine) plan() (writers, read int) {
+// planPass distributes the pass's prefill tokens among the running requests in order. It returns the number of requests
+// in the decode phase and the number of prompt tokens processed in the pass.
+func (e *engine) planPass() (decoding, prefilled int) {
 	for _, j := range e.running {
-		if j.unread == 0 {
-			writers++
+		if j.remainingPrompt == 0 {
+			decoding++
 			continue
 		}
-		piece := min(j.unread, e.ReadAtOnce*e.Stride-read)
-		j.unread -= piece
-		read += piece
-		if j.unread == 0 {
-			// The first token comes at the end of this pass.
-			j.untold = -1
+		chunk := min(j.remainingPrompt, e.PrefillChunkTokens*e.StepsBetweenPrefills-prefilled)
+		j.remainingPrompt -= chunk
+		prefilled += chunk
+		if j.remainingPrompt == 0 {
+			// The first token is generated at the end of this pass.
+			j.unreported = -1
 		}
 	}
-	return writers, read
+	return decoding, prefilled
 }
 
-// passed tells what the pass has made.
-func (e *engine) passed() {
-	ended := e.running[:0]
-	var whole []*job
+// finishPass generates the tokens of a pass, reports them, and ends the completed requests.
+func (e *engine) finishPass() {
+	unfinished := e.running[:0]
+	var finished []*job
 	for _, j := range e.running {
-		if j.gone {
+		if j.dropped {
 			continue
 		}
-		if e.write(j); j.unwritten > 0 {
-			ended = append(ended, j)
+		if e.decode(j); j.remainingResponse > 0 {
+			unfinished = append(unfinished, j)
 			continue
 		}
-		whole = append(whole, j)
+		finished = append(finished, j)
 	}
-	e.running = ended
-	for _, j := range whole {
-		j.event()
-		j.ended(true)
+	e.running = unfinished
+	for _, j := range finished {
+		j.onEvent()
+		j.onEnd(true)
 	}
 }
 
-// write plays the stride of one request.
-func (e *engine) write(j *job) {
+// decode generates the tokens of one request in a pass.
+func (e *engine) decode(j *job) {
 	switch {
-	case j.untold < 0:
-		j.unwritten--
-		j.untold = 0
-		e.line.AfterFunc(e.First, func() { j.tell() })
-	case j.unread == 0:
-		tokens := min(e.Stride, j.unwritten)
-		j.unwritten -= tokens
-		if j.untold += tokens; j.untold >= e.EventTokens && j.unwritten > 0 {
-			j.untold = 0
-			j.event()
+	case j.unreported < 0:
+		j.remainingResponse--
+		j.unreported = 0
+		e.timeline.AfterFunc(e.FirstTokenDelay, func() { j.emit() })
+	case j.remainingPrompt == 0:
+		tokens := min(e.StepsBetweenPrefills, j.remainingResponse)
+		j.remainingResponse -= tokens
+		if j.unreported += tokens; j.unreported >= e.EventTokens && j.remainingResponse > 0 {
+			j.unreported = 0
+			j.onEvent()
 		}
 	}
 }
 
-func (j *job) tell() {
-	if !j.gone {
-		j.event()
+// emit reports the first token unless the request was dropped.
+func (j *job) emit() {
+	if !j.dropped {
+		j.onEvent()
 	}
 }
 
-// stop ends all that runs and waits here.
+// stop drops all running and queued requests.
 func (e *engine) stop() {
-	e.life++
-	e.passing = false
-	cut := slices.Concat(e.running, e.queue)
+	e.incarnation++
+	e.active = false
+	jobs := slices.Concat(e.running, e.queue)
 	e.running, e.queue = nil, nil
-	for _, j := range cut {
-		if !j.gone {
-			j.gone = true
-			j.ended(false)
+	for _, j := range jobs {
+		if !j.dropped {
+			j.dropped = true
+			j.onEnd(false)
 		}
 	}
 }
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -1,21 +1,18 @@
-// Package rig measures the distribution of weights: the decisions of
-// pkg/weights and pkg/member as they are, over links in memory on a clock of its
-// own. A run is repeatable: the same options give the same result.
+// Package rig simulates the distribution of weights to boxes in virtual time. It runs the production code of
+// pkg/weights and pkg/member over simulated links. The same options give the same result.
 //
 // # Link model
 //
-// Each box has one link up and one link down of the same rate (full duplex), the
-// source has one link up. A transfer waits its turn on the sender's link, then
-// on the receiver's; it passes through while it comes. The source's rate is twice
-// a box's, because in the time allowed its link carries four copies and a box's
-// two. Control messages take one latency and no bandwidth. The lower bound is the
-// largest of: a copy over the source's link, a copy over a box's link, and all
-// copies over all links up.
+// Each box has an uplink and a downlink of the same rate (full duplex); the origin has an uplink. A transfer is queued
+// on the sender's uplink, then on the receiver's downlink, which receives it while it is sent (cut-through). The
+// origin's rate is twice a box's, because in the time allowed its link carries four copies and a box's link two.
+// Control messages take one latency and no bandwidth. The lower bound of the distribution time is the largest of three
+// times: one copy over the origin's link, one copy over a box's link, and all copies over all uplinks together.
 //
 // # Usage
 //
 //	result := rig.Run(rig.Options{Boxes: 200, Regions: 3, Chunks: 400, Picker: weights.DefaultPickerOptions()})
-//	fmt.Println(result.Time/result.Bound, result.SourceCopies)
+//	fmt.Println(result.Time/result.Bound, result.OriginCopies)
 package rig
 
 import (
@@ -28,54 +25,62 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// The link model.
+// Parameters of the model.
 const (
-	// copyTime is how long one copy takes over a box's link.
+	// copyTime is the transfer time of one copy over a box's link.
 	copyTime = 90 * time.Second
-	// sourceFactor is how much faster the source's link is.
-	sourceFactor = 2
+	// originRateFactor is the rate of the origin's link relative to a box's.
+	originRateFactor = 2
 	// domainsPerRegion is the number of failure domains of a region.
 	domainsPerRegion = 2
 
-	latency     = 3 * time.Millisecond
-	pollTime    = 200 * time.Millisecond
-	stallTime   = 2 * time.Second
-	refusedTime = time.Second
-	// silenceTime is how long a dead box is still thought to be up.
-	silenceTime = 4500 * time.Millisecond
+	// latency is the one-way delay of a message.
+	latency = 3 * time.Millisecond
+	// pollInterval is the interval at which a box polls the holdings of its neighbours.
+	pollInterval = 200 * time.Millisecond
+	// stallTimeout is the time after which a transfer from a stalled box fails.
+	stallTimeout = 2 * time.Second
+	// connectTimeout is the time after which a connection to a crashed box fails.
+	connectTimeout = time.Second
+	// silenceTimeout is the interval at which crashed boxes are detected, so a crashed box counts as up for at most
+	// this long.
+	silenceTimeout = 4500 * time.Millisecond
 )
 
-// Options says what is run.
+// Options are the options of Run.
 type Options struct {
 	Boxes   int
 	Regions int
 	Chunks  int
-	// Dying and Stalling are the parts of the boxes that die at a random time
-	// within a copy time, and whose link up stands still from a random time.
-	Dying    float64
-	Stalling float64
-	Seed     uint64
-	Picker   weights.PickerOptions
+	// CrashShare is the fraction of the boxes that crash, StallShare the fraction whose uplinks stall, each at a random
+	// time within the first copyTime.
+	CrashShare float64
+	StallShare float64
+	Seed       uint64
+	Picker     weights.PickerOptions
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
-	// Time is when the last box that lives had the whole.
-	Time  time.Duration
+	// Time is when the last box that did not crash completed its copy.
+	Time time.Duration
+	// Bound is the lower bound of Time.
 	Bound time.Duration
-	// SourceCopies is what the source sent, RegionCopies the most that any region
-	// got over long links, both in copies.
-	SourceCopies float64
+	// OriginCopies is the number of copies that the origin sent.
+	OriginCopies float64
+	// RegionCopies is the largest number of copies that one region received from boxes in other regions.
 	RegionCopies float64
-	// Decisions counts the fetches that were started.
+	// Decisions is the number of fetches that were started.
 	Decisions int
-	// Complete is false if some box never got the whole.
+	// Complete is set if every box that did not crash has a complete copy.
 	Complete bool
 }
 
+// link is one direction of a box's or the origin's network link.
 type link struct {
-	free time.Duration
-	rate time.Duration
+	// freeAt is when the last queued transfer ends, as a virtual time since virtual.Epoch.
+	freeAt       time.Duration
+	timePerChunk time.Duration
 }
 
 type box struct {
@@ -83,9 +88,10 @@
 	picker   *weights.Picker
 	held     weights.Bits
 	up, down link
-	dead     bool
+	crashed  bool
 	stalled  bool
-	done     time.Duration
+	// completedAt is when the copy was completed; 0 before.
+	completedAt time.Duration
 }
 
 type run struct {
@@ -95,37 +101,40 @@
 	manifest *weights.Manifest
 	boxes    []*box
 	byName   map[string]*box
-	source   link
-	left     int
-	result   Result
-	sent     int
-	far      map[member.Region]int
+	origin   link
+	// incomplete is the number of boxes that have neither completed their copies nor crashed.
+	incomplete int
+	result     Result
+	// originChunks counts the chunks received from the origin, remoteChunks those that each region received from boxes in
+	// other regions.
+	originChunks int
+	remoteChunks map[member.Region]int
 }
 
-// Run distributes one version to boxes that have nothing.
+// Run simulates the distribution of one version to boxes that hold no chunks of it.
 func Run(options Options) Result {
 	r := &run{
 		options: options, random: rand.New(rand.NewPCG(options.Seed, 1)), manifest: newManifest(options.Chunks),
-		byName: make(map[string]*box), far: make(map[member.Region]int),
+		byName: make(map[string]*box), remoteChunks: make(map[member.Region]int),
 	}
 	chunkTime := copyTime / time.Duration(options.Chunks)
-	r.source = link{rate: chunkTime / sourceFactor}
+	r.origin = link{timePerChunk: chunkTime / originRateFactor}
 	for i := range options.Boxes {
 		r.addBox(i, chunkTime)
 	}
-	r.left = len(r.boxes)
-	r.meet()
-	r.breakSome()
+	r.incomplete = len(r.boxes)
+	r.updatePeers()
+	r.scheduleFaults()
 	for i, b := range r.boxes {
-		r.AfterFunc(pollTime*time.Duration(i)/time.Duration(len(r.boxes)), func() { r.poll(b) })
+		r.AfterFunc(pollInterval*time.Duration(i)/time.Duration(len(r.boxes)), func() { r.poll(b) })
 	}
 	limit := time.Duration(options.Boxes+10) * copyTime
-	for r.left > 0 && r.Step(limit) {
+	for r.incomplete > 0 && r.Step(limit) {
 	}
 	return r.finish()
 }
 
-// newManifest describes weights whose chunks differ; their bytes never exist.
+// newManifest returns a manifest with distinct chunk digests. The content is not created.
 func newManifest(chunks int) *weights.Manifest {
 	manifest := &weights.Manifest{Model: "m", Version: "v", Files: []weights.File{{Path: "w", Size: int64(chunks)}}}
 	for i := range chunks {
@@ -144,22 +153,23 @@
 		},
 		picker: weights.NewPicker(r.manifest, name, nil, r.options.Picker, virtual.Epoch),
 		held:   weights.NewBits(r.options.Chunks),
-		up:     link{rate: chunkTime}, down: link{rate: chunkTime},
+		up:     link{timePerChunk: chunkTime}, down: link{timePerChunk: chunkTime},
 	}
 	r.boxes = append(r.boxes, b)
 	r.byName[name] = b
 }
 
-// meet tells every box that is up its neighbours and the drawers, as monitors do.
-func (r *run) meet() {
+// updatePeers sets the neighbours and the origin fetchers of every incomplete box that is up, as the monitor does in
+// production.
+func (r *run) updatePeers() {
 	var records []member.Record
 	for _, b := range r.boxes {
-		if !b.dead {
+		if !b.crashed {
 			records = append(records, b.record)
 		}
 	}
 	for _, b := range r.boxes {
-		if b.dead || b.done > 0 {
+		if b.crashed || b.completedAt > 0 {
 			continue
 		}
 		b.picker.SetNeighbours(peersOf(b.record, member.Neighbours(b.record, records)))
@@ -175,45 +185,45 @@
 	return peers
 }
 
-// breakSome lets boxes die and links stand still at random times. Deaths are
-// noticed in groups, a few seconds apart, to bound the work of the rig.
-func (r *run) breakSome() {
+// scheduleFaults schedules crashes and stalls at random times. Crashes are detected in groups, every silenceTimeout, to
+// limit the cost of the simulation.
+func (r *run) scheduleFaults() {
 	for _, b := range r.boxes[1:] {
 		at := time.Duration(r.random.Float64() * float64(copyTime))
 		switch chance := r.random.Float64(); {
-		case chance < r.options.Dying:
+		case chance < r.options.CrashShare:
 			r.AfterFunc(at, func() {
-				b.dead = true
-				if b.done == 0 {
-					r.left--
+				b.crashed = true
+				if b.completedAt == 0 {
+					r.incomplete--
 				}
 			})
-		case chance < r.options.Dying+r.options.Stalling:
+		case chance < r.options.CrashShare+r.options.StallShare:
 			r.AfterFunc(at, func() { b.stalled = true })
 		}
 	}
-	if r.options.Dying > 0 {
-		for at := silenceTime; at < copyTime+2*silenceTime; at += silenceTime {
-			r.AfterFunc(at, r.meet)
+	if r.options.CrashShare > 0 {
+		for at := silenceTimeout; at < copyTime+2*silenceTimeout; at += silenceTimeout {
+			r.AfterFunc(at, r.updatePeers)
 		}
 	}
 }
 
-// poll asks the neighbours what they hold, as the agent does.
+// poll polls the holdings of the neighbours, as the agent does in production, and starts fetches.
 func (r *run) poll(b *box) {
-	if b.dead || b.done > 0 {
+	if b.crashed || b.completedAt > 0 {
 		return
 	}
 	for _, name := range b.picker.BoxesToPoll() {
-		n := r.byName[name]
-		held := n.held
-		if n.dead {
+		neighbour := r.byName[name]
+		held := neighbour.held
+		if neighbour.crashed {
 			held = nil
 		}
 		b.picker.SetHoldings(name, append(weights.Bits(nil), held...))
 	}
 	r.fetch(b)
-	r.AfterFunc(pollTime, func() { r.poll(b) })
+	r.AfterFunc(pollInterval, func() { r.poll(b) })
 }
 
 func (r *run) fetch(b *box) {
@@ -230,58 +240,58 @@
 func (r *run) transfer(b *box, task weights.FetchTask) {
 	from := r.byName[task.From]
 	switch {
-	case from != nil && from.dead:
-		r.AfterFunc(refusedTime, func() { r.failed(b, task) })
+	case from != nil && from.crashed:
+		r.AfterFunc(connectTimeout, func() { r.transferFailed(b, task) })
 	case from != nil && from.stalled:
-		r.AfterFunc(stallTime, func() { r.failed(b, task) })
+		r.AfterFunc(stallTimeout, func() { r.transferFailed(b, task) })
 	default:
-		up := &r.source
+		up := &r.origin
 		if from != nil {
 			up = &from.up
 		}
 		r.AfterFunc(r.send(up), func() {
-			r.AfterFunc(r.receive(&b.down), func() { r.arrived(b, from, task) })
+			r.AfterFunc(r.receive(&b.down), func() { r.transferCompleted(b, from, task) })
 		})
 	}
 }
 
-// send takes a transfer's turn on the sender's link and returns when it has gone.
+// send queues a transfer on the sender's uplink and returns the time until it is sent.
 func (r *run) send(up *link) time.Duration {
-	up.free = max(r.Elapsed()+latency, up.free) + up.rate
-	return up.free - r.Elapsed()
+	up.freeAt = max(r.Elapsed()+latency, up.freeAt) + up.timePerChunk
+	return up.freeAt - r.Elapsed()
 }
 
-// receive takes its turn on the receiver's link. A transfer that found the link
-// free has passed through while it was sent.
+// receive queues a transfer on the receiver's downlink and returns the time until it is received. If the link was free,
+// the transfer was received while it was sent.
 func (r *run) receive(down *link) time.Duration {
-	down.free = max(r.Elapsed(), down.free+down.rate)
-	return down.free + latency - r.Elapsed()
+	down.freeAt = max(r.Elapsed(), down.freeAt+down.timePerChunk)
+	return down.freeAt + latency - r.Elapsed()
 }
 
-func (r *run) failed(b *box, task weights.FetchTask) {
-	if !b.dead {
+func (r *run) transferFailed(b *box, task weights.FetchTask) {
+	if !b.crashed {
 		b.picker.Failed(task, r.Now().Add(time.Second))
 		r.fetch(b)
 	}
 }
 
-func (r *run) arrived(b, from *box, task weights.FetchTask) {
+func (r *run) transferCompleted(b, from *box, task weights.FetchTask) {
 	switch {
-	case b.dead:
+	case b.crashed:
 		return
-	case from != nil && (from.dead || from.stalled):
-		r.AfterFunc(stallTime, func() { r.failed(b, task) })
+	case from != nil && (from.crashed || from.stalled):
+		r.AfterFunc(stallTimeout, func() { r.transferFailed(b, task) })
 		return
 	case from == nil:
-		r.sent++
+		r.originChunks++
 	case from.record.Region != b.record.Region:
-		r.far[b.record.Region]++
+		r.remoteChunks[b.record.Region]++
 	}
 	b.picker.Done(task, r.Now())
 	b.held.Set(task.Chunk)
 	if b.picker.Missing() == 0 {
-		b.done = r.Elapsed()
-		r.left--
+		b.completedAt = r.Elapsed()
+		r.incomplete--
 		return
 	}
 	r.fetch(b)
@@ -290,36 +300,36 @@
 func (r *run) finish() Result {
 	r.result.Complete = true
 	for _, b := range r.boxes {
-		if b.dead {
+		if b.crashed {
 			continue
 		}
-		r.result.Time = max(r.result.Time, b.done)
-		r.result.Complete = r.result.Complete && b.done > 0
+		r.result.Time = max(r.result.Time, b.completedAt)
+		r.result.Complete = r.result.Complete && b.completedAt > 0
 	}
 	r.result.Bound = Bound(r.options.Boxes)
-	r.result.SourceCopies = float64(r.sent) / float64(r.options.Chunks)
-	for _, far := range r.far {
-		r.result.RegionCopies = max(r.result.RegionCopies, float64(far)/float64(r.options.Chunks))
+	r.result.OriginCopies = float64(r.originChunks) / float64(r.options.Chunks)
+	for _, chunks := range r.remoteChunks {
+		r.result.RegionCopies = max(r.result.RegionCopies, float64(chunks)/float64(r.options.Chunks))
 	}
 	return r.result
 }
 
-// Bound is the least time in which boxes can get the whole under the link model.
+// Bound returns the lower bound of the time to distribute a copy to each box under the link model.
 func Bound(boxes int) time.Duration {
-	all := float64(boxes) * float64(copyTime) / (float64(boxes) + sourceFactor)
-	return max(copyTime, copyTime/sourceFactor, time.Duration(all))
+	all := float64(boxes) * float64(copyTime) / (float64(boxes) + originRateFactor)
+	return max(copyTime, copyTime/originRateFactor, time.Duration(all))
 }
 
-// AllFromSource is the baseline in which every box draws the whole itself.
-func AllFromSource(boxes int) Result {
+// AllFromOrigin returns the result of the baseline in which every box downloads its copy from the origin.
+func AllFromOrigin(boxes int) Result {
 	return Result{
-		Time: max(copyTime, copyTime/sourceFactor*time.Duration(boxes)), Bound: Bound(boxes),
-		SourceCopies: float64(boxes), Complete: true,
+		Time: max(copyTime, copyTime/originRateFactor*time.Duration(boxes)), Bound: Bound(boxes),
+		OriginCopies: float64(boxes), Complete: true,
 	}
 }
 
-// TreeOfCopies is the baseline in which each box, once it has the whole, sends it
-// to two others, both at once over its one link.
+// TreeOfCopies returns the result of the baseline in which each box that has a complete copy sends it to two others
+// concurrently over its one uplink.
 func TreeOfCopies(boxes int) Result {
 	done := make([]time.Duration, boxes)
 	last := time.Duration(0)
@@ -331,5 +341,5 @@
 		}
 		last = max(last, done[i])
 	}
-	return Result{Time: last, Bound: Bound(boxes), SourceCopies: 1, Complete: true}
+	return Result{Time: last, Bound: Bound(boxes), OriginCopies: 1, Complete: true}
 }
