--- a/internal/lab/box.go
+++ b/internal/lab/box.go
@@ -9,55 +9,56 @@
 	"github.com/cinderslip/cinderslip/pkg/route"
 )
 
-// unchangedReportInterval is after which time a box tells the others again what has not changed.
+// unchangedReportInterval is the interval at which a box repeats a report that has not changed.
 const unchangedReportInterval = 400 * time.Millisecond
 
-// box is an entry box. Its dispatcher is the one that runs in production.
+// box is a simulated entry box. It uses the production dispatcher.
 type box struct {
 	sim    *simulation
 	id     member.BoxID
 	region int
-	// peers are the other boxes of its cell.
+	// peers are the other boxes of the cell.
 	peers      []*box
 	servers    []fleet.Server
 	dispatcher *route.Dispatcher
 	up         bool
-	// partitioned is set while it does not reach the other boxes, nor they it.
+	// partitioned is set while no messages pass between this box and the others.
 	partitioned bool
-	// reportPending is set while a call of reportSoon is scheduled.
+	// reportPending is set while a report of reportSoon is scheduled.
 	reportPending bool
-	// hadFault is set once the box has been killed or cut off.
+	// hadFault is set once the box has been killed or partitioned.
 	hadFault bool
-	// incarnation changes when the box is killed, so that what was planned before lapses.
+	// incarnation changes when the box starts or is killed, which invalidates events scheduled before.
 	incarnation int
-	// localReport and far are what the others of the own region were told, and those of other regions.
-	localReport, remoteReport lastReport
+	// localReporter reports to the peers in the same region, remoteReporter to those in other regions.
+	localReporter, remoteReporter reporter
 }
 
-// lastReport is what some of the other boxes were told last.
-type lastReport struct {
-	load route.Load
-	at   time.Time
+// reporter sends a box's load and demand to some of its peers and keeps the last load sent.
+type reporter struct {
+	load   route.Load
+	sentAt time.Time
 }
 
-// update tells the boxes of other regions, or of the own one, if there is something to tell.
-func (t *lastReport) update(b *box, far bool, load route.Load, demand route.Demand, now time.Time) {
-	if t.load != nil && now.Sub(t.at) < unchangedReportInterval && maps.Equal(load, t.load) {
+// report sends the load and the demand to the peers in other regions if remote is set, otherwise to those in the
+// same region. It sends nothing if the load is unchanged and was sent less than unchangedReportInterval ago.
+func (r *reporter) report(b *box, remote bool, load route.Load, demand route.Demand, now time.Time) {
+	if r.load != nil && now.Sub(r.sentAt) < unchangedReportInterval && maps.Equal(load, r.load) {
 		return
 	}
-	t.load, t.at = load, now
+	r.load, r.sentAt = load, now
 	for _, other := range b.peers {
-		if (other.region != b.region) == far {
+		if (other.region != b.region) == remote {
 			other.receiveReport(b, load, demand)
 		}
 	}
 }
 
-// start starts the box; it knows nothing of the others yet.
+// start starts the box with a new dispatcher. It receives a report from each running peer after the message delay.
 func (b *box) start() {
 	b.up = true
 	b.incarnation++
-	b.localReport, b.remoteReport = lastReport{}, lastReport{}
+	b.localReporter, b.remoteReporter = reporter{}, reporter{}
 	b.dispatcher = route.NewDispatcher(route.DispatcherOptions{
 		TypicalHoldTime: initialHoldTime, TTFB: initialTTFB, NeedsWeights: true, Random: b.sim.random.Float64, Box: b.id,
 		OnLimitedSend: func() { b.reportSoon(b.incarnation) },
@@ -73,12 +74,12 @@
 	b.reportPeriodically(b.incarnation)
 }
 
-// updateServers updates the dispatcher with the servers and their rate limits.
+// updateServers passes the servers and their rate limits to the dispatcher.
 func (b *box) updateServers() {
 	b.dispatcher.SetServers(b.servers, 0, func(domain member.FailureDomain) bool { return domain == domainOf(b.region) }, b.sim.Now())
 }
 
-// kill ends the box and all that it was doing.
+// kill stops the box and all its requests. Its peers drop the load that it reported.
 func (b *box) kill() {
 	b.up, b.hadFault = false, true
 	b.incarnation++
@@ -89,62 +90,66 @@
 	}
 }
 
-// reportPeriodically tells the others what is in flight here, again and again.
-func (b *box) reportPeriodically(life int) {
-	if b.incarnation != life {
+// reportPeriodically reports the box's requests in flight to its peers until the incarnation ends.
+func (b *box) reportPeriodically(incarnation int) {
+	if b.incarnation != incarnation {
 		return
 	}
 	load, demand := b.dispatcher.OwnLoad(), b.dispatcher.Demand(b.sim.Now())
 	now := b.sim.Now()
-	b.localReport.update(b, false, load, demand, now)
-	if now.Sub(b.remoteReport.at) >= b.sim.deployment.RemoteReportInterval {
-		b.remoteReport.update(b, true, load, demand, now)
+	b.localReporter.report(b, false, load, demand, now)
+	if now.Sub(b.remoteReporter.sentAt) >= b.sim.deployment.RemoteReportInterval {
+		b.remoteReporter.report(b, true, load, demand, now)
 	}
-	b.sim.AfterFunc(b.sim.deployment.ReportInterval, func() { b.reportPeriodically(life) })
+	b.sim.AfterFunc(b.sim.deployment.ReportInterval, func() { b.reportPeriodically(incarnation) })
 }
 
-// reportBatchDelay is how long reportSoon waits, to batch requests.
+// reportBatchDelay is how long reportSoon waits, so that one report covers several requests.
 const reportBatchDelay = 5 * time.Millisecond
 
-// reportSoon reports requests to servers with a low rate limit to the other boxes after reportBatchDelay.
-func (b *box) reportSoon(life int) {
+// reportSoon reports to all peers after reportBatchDelay. It is called after a request was sent to a server with a low
+// rate limit.
+func (b *box) reportSoon(incarnation int) {
 	if b.reportPending {
 		return
 	}
 	b.reportPending = true
 	b.sim.AfterFunc(reportBatchDelay, func() {
 		b.reportPending = false
-		if b.incarnation == life {
+		if b.incarnation == incarnation {
 			load, demand := b.dispatcher.OwnLoad(), b.dispatcher.Demand(b.sim.Now())
-			b.localReport.update(b, false, load, demand, b.sim.Now())
-			b.remoteReport.update(b, true, load, demand, b.sim.Now())
+			b.localReporter.report(b, false, load, demand, b.sim.Now())
+			b.remoteReporter.report(b, true, load, demand, b.sim.Now())
 		}
 	})
 }
 
-// receiveReport takes what another box tells, a little later.
+// receiveReport applies a report from another box after the message delay. The report is lost if either box restarts
+// meanwhile or is partitioned when the report arrives.
 func (b *box) receiveReport(from *box, load route.Load, demand route.Demand) {
-	life, fromLife := b.incarnation, from.incarnation
+	incarnation, fromIncarnation := b.incarnation, from.incarnation
 	b.sim.AfterFunc(b.sim.delay(from.region, b.region), func() {
-		if b.incarnation == life && from.incarnation == fromLife && !b.partitioned && !from.partitioned {
+		if b.incarnation == incarnation && from.incarnation == fromIncarnation && !b.partitioned && !from.partitioned {
 			b.dispatcher.UpdatePeerDemand(from.id, demand, b.sim.Now())
 			b.dispatcher.UpdatePeerLoad(from.id, load, true, b.sim.Now())
 		}
 	})
 }
 
-// request is one request of a caller at a box.
+// request is a caller's request at an entry box.
 type request struct {
 	box         *box
 	incarnation int
 	caller      *caller
 	slotRequest route.SlotRequest
-	// callerAttempt is the number of the caller's attempt that the request belongs to.
+	// callerAttempt is the number of the caller's attempt, counted from 1.
 	callerAttempt int
-	attempts      int
-	tried         []fleet.ServerID
-	started       bool
-	// lastEvent is when the newest event was passed on.
+	// attempts counts the servers that the request was sent to.
+	attempts int
+	tried    []fleet.ServerID
+	// started is set once the response has started.
+	started bool
+	// lastEvent is when the box forwarded the last event to the caller.
 	lastEvent   time.Time
 	reservation *route.Reservation
 	queued      *route.QueuedRequest
@@ -153,7 +158,7 @@
 	done        bool
 }
 
-// serve takes a request.
+// serve accepts a request from a caller.
 func (b *box) serve(c *caller) *request {
 	r := &request{box: b, incarnation: b.incarnation, caller: c, callerAttempt: c.attempts}
 	now := b.sim.Now()
@@ -168,13 +173,13 @@
 	return r
 }
 
-// prefillTime is how long an entry box takes a prompt to be read.
+// prefillTime returns an entry box's estimate of the prefill time of a prompt.
 func (e *Engine) prefillTime(tokens int) time.Duration {
 	engine := fleet.Engine{PrefillTokensPerSecond: e.PrefillTokensPerSecond, PrefillChunkTokens: e.PrefillChunkTokens, StepsBetweenPrefills: e.StepsBetweenPrefills, StepTime: e.StepTime}
 	return engine.PrefillTime(tokens)
 }
 
-// afterFunc runs something at the box after a time, if the request lives.
+// afterFunc calls run after a delay, unless the request is done or its box was killed by then.
 func (r *request) afterFunc(wait time.Duration, run func()) {
 	r.box.sim.AfterFunc(wait, func() {
 		if r.box.incarnation == r.incarnation && !r.done {
@@ -183,58 +188,58 @@
 	})
 }
 
-// submit asks for a place.
+// submit requests a slot from the dispatcher.
 func (r *request) submit() {
-	ask := r.slotRequest
-	ask.Tried = r.tried
-	place, waiting, err := r.box.dispatcher.Submit(&ask, func(place *route.Reservation) {
+	req := r.slotRequest
+	req.Tried = r.tried
+	reservation, queued, err := r.box.dispatcher.Submit(&req, func(reservation *route.Reservation) {
 		r.queued = nil
-		r.afterFunc(0, func() { r.send(place) })
+		r.afterFunc(0, func() { r.send(reservation) })
 	}, r.box.sim.Now())
 	switch {
-	case place != nil:
-		r.send(place)
+	case reservation != nil:
+		r.send(reservation)
 	case err != nil:
 		r.reject(err)
 	default:
-		r.queued = waiting
+		r.queued = queued
 		r.review()
 	}
 }
 
-// review looks at a waiting request again and again.
+// review reviews a queued request at the times that the dispatcher returns, until it gets a slot or is rejected.
 func (r *request) review() {
 	if r.queued == nil {
 		return
 	}
 	now := r.box.sim.Now()
-	again, waits, err := r.box.dispatcher.Review(r.queued, now)
+	next, waiting, err := r.box.dispatcher.Review(r.queued, now)
 	switch {
 	case err != nil:
 		r.queued = nil
 		r.reject(err)
-	case waits:
-		r.afterFunc(again.Sub(now), r.review)
+	case waiting:
+		r.afterFunc(next.Sub(now), r.review)
 	}
 }
 
-// send sends the request to a server.
-func (r *request) send(place *route.Reservation) {
-	r.reservation = place
-	if place.Check(r.box.sim.Now()) != nil {
-		place.Release(route.ResultAbandoned, r.box.sim.Now())
-		r.tried = append(r.tried, place.Server.ID)
+// send sends the request to the server on which its slot is reserved.
+func (r *request) send(reservation *route.Reservation) {
+	r.reservation = reservation
+	if reservation.Check(r.box.sim.Now()) != nil {
+		reservation.Release(route.ResultAbandoned, r.box.sim.Now())
+		r.tried = append(r.tried, reservation.Server.ID)
 		r.retry()
 		return
 	}
 	r.attempts++
-	r.tried = append(r.tried, place.Server.ID)
-	server := r.box.sim.byID[place.Server.ID]
+	r.tried = append(r.tried, reservation.Server.ID)
+	server := r.box.sim.byID[reservation.Server.ID]
 	delay := r.box.sim.delay(r.box.region, server.region)
 	r.server = server
 	r.job = &job{promptTokens: r.caller.promptTokens, responseTokens: r.caller.remainingTokens()}
-	r.job.onEvent = func() { r.afterFunc(delay, func() { r.forwardEvent(place) }) }
-	r.job.onEnd = func(whole bool) { r.afterFunc(delay, func() { r.attemptEnded(whole) }) }
+	r.job.onEvent = func() { r.afterFunc(delay, func() { r.forwardEvent(reservation) }) }
+	r.job.onEnd = func(complete bool) { r.afterFunc(delay, func() { r.attemptEnded(complete) }) }
 	sent := r.job
 	r.afterFunc(delay, func() {
 		if sent.dropped {
@@ -246,10 +251,10 @@
 		case server.rejecting:
 			r.box.sim.result.RejectedAttempts++
 			server.requestBackoff(r.box)
-			rest := server.retryAfter
+			retryAfter := server.retryAfter
 			r.afterFunc(delay, func() {
-				if now := r.box.sim.Now(); rest > 0 {
-					place.BackOff(now.Add(rest), now)
+				if now := r.box.sim.Now(); retryAfter > 0 {
+					reservation.BackOff(now.Add(retryAfter), now)
 				}
 				r.attemptRejected(true)
 			})
@@ -259,18 +264,18 @@
 	})
 }
 
-// forwardEvent passes an event on.
-func (r *request) forwardEvent(place *route.Reservation) {
-	place.Started(r.box.sim.Now())
+// forwardEvent forwards an event of the response to the caller.
+func (r *request) forwardEvent(reservation *route.Reservation) {
+	reservation.Started(r.box.sim.Now())
 	r.box.observeLimit(r.server)
 	r.started, r.lastEvent = true, r.box.sim.Now()
 	r.afterFunc(r.box.sim.deployment.CallerDelay, func() { r.caller.receiveEvent(r) })
 }
 
-// attemptEnded ends an attempt whose server has ended it.
-func (r *request) attemptEnded(whole bool) {
+// attemptEnded handles the end of a response. If it is incomplete, the request is retried.
+func (r *request) attemptEnded(complete bool) {
 	now := r.box.sim.Now()
-	if whole {
+	if complete {
 		r.reservation.Release(route.ResultDone, now)
 		r.reservation = nil
 		r.afterFunc(r.box.sim.deployment.CallerDelay, func() {
@@ -283,7 +288,7 @@
 	r.retry()
 }
 
-// attemptRejected ends an attempt whose server did not take it.
+// attemptRejected handles an attempt that the server rejected or, if up is false, that did not reach it.
 func (r *request) attemptRejected(up bool) {
 	result := route.ResultRefused
 	if !up {
@@ -293,7 +298,7 @@
 	r.retry()
 }
 
-// retry goes on at another server, if one more may be tried.
+// retry requests a slot on another server, or ends the response if MaxAttempts is reached.
 func (r *request) retry() {
 	r.reservation = nil
 	if r.attempts >= r.box.sim.deployment.MaxAttempts {
@@ -311,7 +316,7 @@
 	r.submit()
 }
 
-// reject tells the caller when to come back.
+// reject rejects the caller with the time to retry after, or truncates a response that has started.
 func (r *request) reject(err error) {
 	if r.started {
 		r.afterFunc(r.box.sim.deployment.CallerDelay, func() {
@@ -327,7 +332,7 @@
 	})
 }
 
-// cancel ends a request whose caller has left.
+// cancel ends a request whose caller has disconnected.
 func (r *request) cancel() {
 	if r.done || r.box.incarnation != r.incarnation {
 		return
--- a/internal/lab/caller.go
+++ b/internal/lab/caller.go
@@ -5,47 +5,49 @@
 )
 
 const (
-	// connectRetryInterval is after which time a caller that reached no entry box tries again.
+	// connectRetryInterval is the time after which a caller tries to connect again if no entry box in its region is up,
+	// and the interval at which it checks whether its entry box is still up.
 	connectRetryInterval = 100 * time.Millisecond
-	// retryWaitDivisor is the part of its remaining time for which a caller waits as it is told.
+	// retryWaitDivisor limits the wait before a retry to the time until the deadline divided by it.
 	retryWaitDivisor = 3
 )
 
-// caller asks for one answer.
+// caller is a client that sends one request and retries it.
 type caller struct {
 	sim            *simulation
 	region         int
 	kind           *RequestKind
 	promptTokens   int
 	responseTokens int
-	arrivedAt      time.Time
-	attempts       int
-	// events is how many events have come, begun when the first did, last the newest.
+	// arrivedAt is when the caller sent its first attempt, from which objective and deadline count.
+	arrivedAt time.Time
+	attempts  int
+	// events counts the received events; firstEvent and lastEvent are when the first and the last were received.
 	events      int
 	firstEvent  time.Time
 	lastEvent   time.Time
 	maxEventGap time.Duration
-	// sentAt is when the present try began.
+	// sentAt is when the current attempt was sent.
 	sentAt  time.Time
 	request *request
 	done    bool
 }
 
-func newCaller(w *simulation, region int, kind *RequestKind) *caller {
+func newCaller(sim *simulation, region int, kind *RequestKind) *caller {
 	return &caller{
-		sim: w, region: region, kind: kind, arrivedAt: w.Now(),
-		promptTokens: w.randomSize(kind.Prompt, kind.PromptSpread), responseTokens: w.randomSize(kind.Response, kind.ResponseSpread),
+		sim: sim, region: region, kind: kind, arrivedAt: sim.Now(),
+		promptTokens: sim.randomSize(kind.Prompt, kind.PromptSpread), responseTokens: sim.randomSize(kind.Response, kind.ResponseSpread),
 	}
 }
 
-// remainingTokens is how many tokens of the answer have not come yet.
+// remainingTokens estimates how many response tokens are still missing, at least 1.
 func (c *caller) remainingTokens() int {
 	return max(1, c.responseTokens-c.events*c.sim.deployment.Engine.EventTokens)
 }
 
 func (c *caller) timeLeft() time.Duration { return c.arrivedAt.Add(c.kind.Deadline).Sub(c.sim.Now()) }
 
-// send asks an entry box of the region.
+// send sends an attempt to a random entry box of the region.
 func (c *caller) send() {
 	if c.done {
 		return
@@ -61,25 +63,25 @@
 			}
 		})
 	}
-	var near []*box
+	var local []*box
 	for _, b := range c.sim.boxes {
 		if b.region == c.region && b.up {
-			near = append(near, b)
+			local = append(local, b)
 		}
 	}
-	if len(near) == 0 {
+	if len(local) == 0 {
 		c.sim.AfterFunc(connectRetryInterval, c.send)
 		return
 	}
-	b := near[c.sim.random.IntN(len(near))]
+	b := local[c.sim.random.IntN(len(local))]
 	c.attempts++
 	c.sentAt = c.sim.Now()
-	life := b.incarnation
+	incarnation := b.incarnation
 	c.sim.AfterFunc(c.sim.deployment.CallerDelay, func() {
 		if c.done {
 			return
 		}
-		if b.incarnation != life {
+		if b.incarnation != incarnation {
 			c.disconnected(nil)
 			return
 		}
@@ -89,7 +91,7 @@
 	})
 }
 
-// watchBox notices when the entry box has been killed.
+// watchBox detects that the entry box was killed.
 func (c *caller) watchBox(r *request) {
 	c.sim.AfterFunc(connectRetryInterval, func() {
 		switch {
@@ -102,7 +104,7 @@
 	})
 }
 
-// watchTimeout lets the caller leave after a silence.
+// watchTimeout makes the caller disconnect when no event arrives for its CallerTimeout.
 func (c *caller) watchTimeout(r *request) {
 	since := c.sentAt
 	if c.lastEvent.After(since) {
@@ -120,7 +122,7 @@
 	})
 }
 
-// receiveEvent takes an event.
+// receiveEvent records an event of the response.
 func (c *caller) receiveEvent(r *request) {
 	if c.done || c.request != r {
 		return
@@ -135,7 +137,7 @@
 	c.lastEvent = now
 }
 
-// complete takes the end of the answer.
+// complete handles the end of a complete response.
 func (c *caller) complete(r *request) {
 	if c.done || c.request != r {
 		return
@@ -147,7 +149,7 @@
 	c.finish(OutcomeLate)
 }
 
-// rejected comes back when it was told to, if it may.
+// rejected handles a rejection: the caller retries after wait if it has a retry left.
 func (c *caller) rejected(r *request, wait time.Duration) {
 	if c.done || c.request != r {
 		return
@@ -159,7 +161,7 @@
 	c.sim.AfterFunc(min(wait, c.timeLeft()/retryWaitDivisor), c.send)
 }
 
-// truncated comes back after an answer that broke off.
+// truncated handles a response that failed or is incomplete: the caller retries at once if it has a retry left.
 func (c *caller) truncated(r *request) {
 	if c.done || c.request != r {
 		return
@@ -171,7 +173,7 @@
 	c.send()
 }
 
-// disconnected comes back after its entry box was killed.
+// disconnected handles the loss of the entry box: the caller retries at once if it has a retry left.
 func (c *caller) disconnected(r *request) {
 	if c.done || r != nil && c.request != r {
 		return
@@ -183,7 +185,7 @@
 	c.send()
 }
 
-// abandon gives up.
+// abandon ends the caller without a response and cancels its request.
 func (c *caller) abandon() {
 	if r := c.request; r != nil {
 		c.sim.AfterFunc(c.sim.deployment.CallerDelay, r.cancel)
--- a/internal/lab/cells_test.go
+++ b/internal/lab/cells_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// largeDeployment is a deployment of 149 entry boxes and 204 servers in five regions, which are not
-// asked for alike. At level 1 its servers are busy for four fifths of their time.
+// largeDeployment returns a deployment of 149 entry boxes and 204 servers in five regions with different traffic. At
+// level 1 the utilization of its servers is 0.8.
 func largeDeployment(level float64) *Deployment {
 	kind := RequestKind{
 		PromptSpread: 0.8, Response: 88, ResponseSpread: 0.7, Objective: 500 * time.Millisecond, MaxEventGap: 400 * time.Millisecond,
@@ -38,28 +38,29 @@
 	}
 }
 
-// Cells are there to save messages, so they must not cost the callers much: neither on a calm
-// day, nor while a third of the servers swaps their weights, nor under an overload.
+// Cells reduce the number of messages between boxes, but each box then uses only the servers of its own cell. Guards
+// against a large loss of score compared with a single cell: without faults, while a third of the servers swap their
+// weights at a time, and under overload.
 func TestCellsServeCallersAlmostAsWellAsOneCell(t *testing.T) {
 	swaps := []Fault{{Kind: FaultSwap, At: 2 * time.Second, Share: 1, Duration: 700 * time.Millisecond, Spread: 2 * time.Second}}
-	for _, day := range []struct {
+	for _, test := range []struct {
 		name   string
 		level  float64
 		faults []Fault
-		// most is how much less of the worth there may be than with one cell.
-		most float64
+		// maxLoss is the largest allowed loss of score compared with one cell.
+		maxLoss float64
 	}{
 		{"calm", 0.8, nil, 0.02},
 		{"swaps", 0.9, swaps, 0.03},
 		{"overload", 1.3, nil, 0.04},
 	} {
-		t.Run(day.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			whole, cells := largeDeployment(day.level), largeDeployment(day.level)
-			whole.Cells = 1
-			one, divided := Run(whole, day.faults, 1), Run(cells, day.faults, 1)
-			t.Logf("one cell %.3f, divided %.3f", one.Score(), divided.Score())
-			require.Greater(t, divided.Score(), one.Score()-day.most)
+			oneCell, manyCells := largeDeployment(test.level), largeDeployment(test.level)
+			oneCell.Cells = 1
+			single, divided := Run(oneCell, test.faults, 1), Run(manyCells, test.faults, 1)
+			t.Logf("score with one cell %.3f, with several cells %.3f", single.Score(), divided.Score())
+			require.Greater(t, divided.Score(), single.Score()-test.maxLoss)
 		})
 	}
 }
--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -1,136 +1,142 @@
-// Package lab models a deployment in virtual time: callers, entry boxes, links, servers
-// that run requests in batches, and faults. The decisions are not modelled: each entry
-// box runs the dispatcher of package route that serves in production, and entry boxes
-// know of each other late, as they do there. So a policy can be judged in a second, on
-// deployments that nobody has yet, and an overload that does not end by itself is seen
-// before it happens.
+// Package lab simulates a deployment in virtual time: callers, entry boxes, links, servers that run requests in
+// batches, and faults. The routing decisions are not simulated: each entry box runs the dispatcher of package route
+// that runs in production, and receives the reports of the other boxes with a delay, as in production. A change of
+// routing can therefore be evaluated within seconds on deployments of any size, and tests can detect an overload that
+// persists after its cause has ended.
 //
-// A run depends on nothing but the deployment, the faults and the seed.
+// The result depends only on the deployment, the faults and the seed.
 //
 // # Usage
 //
-//	result := lab.Run(&deployment, []lab.Fault{{Kind: lab.FaultBurst, At: 10 * time.Second, Factor: 2, Down: 3 * time.Second}}, 1)
-//	fmt.Println(result.Worth(), result.Between(20*time.Second, 30*time.Second))
+//	faults := []lab.Fault{{Kind: lab.FaultBurst, At: 10 * time.Second, Factor: 2, Duration: 3 * time.Second}}
+//	result := lab.Run(&deployment, faults, 1)
+//	fmt.Println(result.Score(), result.Between(20*time.Second, 30*time.Second))
 package lab
 
 import "time"
 
-// Deployment is what is modelled: boxes, servers, links and callers.
+// Deployment describes the simulated boxes, servers, links and callers.
 type Deployment struct {
 	Regions []Region
-	// Cells is into how many cells the boxes and servers are divided; 0 for as many as such a
-	// fleet has in production.
+	// Cells is the number of cells of the boxes and servers; 0 for the number that member.CellCount returns, which is
+	// used in production.
 	Cells  int
 	Engine Engine
 	Kinds  []RequestKind
-	// RegionDelay is the time of a message between two regions, BoxDelay within one,
-	// CallerDelay between a caller and an entry box; all one way.
+	// RegionDelay is the one-way delay of a message between two regions, BoxDelay within a region, and CallerDelay
+	// between a caller and an entry box.
 	RegionDelay time.Duration
 	BoxDelay    time.Duration
 	CallerDelay time.Duration
-	// ReportInterval is how often an entry box tells the others what it has in flight.
+	// ReportInterval is the interval at which an entry box reports its requests in flight to the others, if they have
+	// changed.
 	ReportInterval time.Duration
-	// RemoteReportInterval is how often it tells those of other regions, if that is less often.
+	// RemoteReportInterval is the minimum interval of periodic reports to other regions; it has no effect below
+	// ReportInterval.
 	RemoteReportInterval time.Duration
-	// MaxAttempts is to how many servers one request may be sent.
+	// MaxAttempts is the maximum number of servers that one request is sent to.
 	MaxAttempts int
-	// LoadSteps is how the traffic changes in the course of time.
+	// LoadSteps are the changes of the traffic over time, sorted by time. Before the first, the level is 1.
 	LoadSteps []LoadStep
-	// Duration is for how long callers ask.
+	// Duration is how long new callers arrive.
 	Duration time.Duration
 }
 
-// Region holds entry boxes and servers, and is asked for a part of the traffic.
+// Region is a region with its numbers of entry boxes and servers.
 type Region struct {
 	Boxes, Servers int
-	// Share is the part of all requests that come from here.
+	// Share is the fraction of all callers that are in the region.
 	Share float64
 }
 
-// LoadStep sets the traffic, as a part of the kinds' rates, from a moment on.
+// LoadStep sets the traffic from a time on, as a multiple of each kind's PerSecond.
 type LoadStep struct {
 	At    time.Duration
 	Level float64
 }
 
-// Engine is a server that runs requests in batches.
+// Engine describes a server that runs requests in batches.
 type Engine struct {
-	// Slots is how many requests run at once, Queue how many more are let in.
+	// Slots is how many requests run concurrently, Queue how many more the server accepts and queues.
 	Slots, Queue int
-	// StepTime is the time of one token step, StepTimePerRequest what each request adds that
-	// writes.
+	// StepTime is the duration of one token step. Each request in the decode phase adds StepTimePerRequest to it.
 	StepTime           time.Duration
 	StepTimePerRequest time.Duration
-	// StepsBetweenPrefills is how many token steps are played in a pass.
+	// StepsBetweenPrefills is the number of token steps in a pass.
 	StepsBetweenPrefills int
-	// PrefillTokensPerSecond is the rate at which prompts are read, PrefillChunkTokens how many tokens
-	// are read in a step.
+	// PrefillTokensPerSecond is the prefill rate, PrefillChunkTokens the maximum number of prompt tokens processed per
+	// token step.
 	PrefillTokensPerSecond float64
 	PrefillChunkTokens     int
-	// EventTokens is how many tokens are told at once.
+	// EventTokens is the number of tokens in one event of a response.
 	EventTokens int
-	// FirstTokenDelay is added to the time to the first token.
+	// FirstTokenDelay is an additional delay of the first token.
 	FirstTokenDelay time.Duration
 }
 
-// RequestKind is a kind of request.
+// RequestKind describes one kind of request.
 type RequestKind struct {
 	Name string
-	// PerSecond is the rate of all regions together at level 1.
+	// PerSecond is the arrival rate in all regions together at level 1.
 	PerSecond float64
-	// Prompt and Answer are mean numbers of tokens, the spreads the standard deviations
-	// of their logarithms.
+	// Prompt and Response are the mean numbers of tokens. PromptSpread and ResponseSpread are the standard deviations
+	// of their natural logarithms.
 	Prompt, PromptSpread     float64
 	Response, ResponseSpread float64
 	Priority                 int
-	Objective                time.Duration
-	MaxEventGap              time.Duration
-	Deadline                 time.Duration
-	// CallerTimeout is after how long without an event callers leave.
+	// Objective is the time to first byte, counted from the first attempt, within which a response is in time.
+	Objective time.Duration
+	// MaxEventGap is the largest gap between two events with which a response is still in time.
+	MaxEventGap time.Duration
+	// Deadline is when a caller disconnects, counted from its first attempt.
+	Deadline time.Duration
+	// CallerTimeout is the time without an event after which a caller disconnects.
 	CallerTimeout time.Duration
-	// Retries is how often a caller comes back.
+	// Retries is the maximum number of retries of a caller.
 	Retries int
-	// Value is what an answer in time earns, LateValue what a later one does.
+	// Value is the value of a response in time, LateValue that of a late one, for a prompt of mean length.
 	Value, LateValue float64
 }
 
-// FaultKind names what goes wrong.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
 // The kinds of fault.
 const (
-	// FaultSwap takes servers out of service one after the other, each for Down.
+	// FaultSwap makes each affected server swap its weights, which takes it out of service for Duration.
 	FaultSwap FaultKind = "swap"
-	// FaultServersDown makes a part of the servers crash; they are back after Down.
+	// FaultServersDown makes servers crash; they restart after Duration.
 	FaultServersDown FaultKind = "servers-down"
-	// FaultServersSlow makes a part of the servers Factor times as slow for Down.
+	// FaultServersSlow makes servers slower by Factor for Duration.
 	FaultServersSlow FaultKind = "servers-slow"
-	// FaultBoxesDown kills a part of the entry boxes; they are back after Down.
+	// FaultBoxesDown kills entry boxes; they restart after Duration.
 	FaultBoxesDown FaultKind = "boxes-down"
-	// FaultBoxesPartitioned cuts a part of the entry boxes off from all others for Down; callers and
-	// servers still reach them.
+	// FaultBoxesPartitioned disconnects entry boxes from all others for Duration. Their connections to callers and
+	// servers stay up.
 	FaultBoxesPartitioned FaultKind = "boxes-cut"
-	// FaultServersRejecting lets a part of the servers turn all requests away for Down. Each time they ask the box for Rest,
-	// or say nothing if that is 0.
+	// FaultServersRejecting makes servers reject all requests for Duration. Each rejection requests a backoff of
+	// RetryAfter, or none if that is 0.
 	FaultServersRejecting FaultKind = "servers-rest"
-	// FaultServersLimited makes a part of the servers advertise a rate limit for Down.
+	// FaultServersLimited makes servers advertise a rate limit for Duration.
 	FaultServersLimited FaultKind = "servers-limited"
-	// FaultBurst multiplies the traffic by Factor for Down.
+	// FaultBurst multiplies the traffic by Factor for Duration.
 	FaultBurst FaultKind = "burst"
 )
 
-// Fault is something that goes wrong.
+// Fault is a fault injected into a simulation.
 type Fault struct {
 	Kind FaultKind
 	At   time.Duration
-	// Share is the part of the servers or entry boxes that it strikes.
+	// Share is the fraction of the servers or entry boxes that are affected, chosen at random.
 	Share float64
-	// Duration is how long each of them is struck, Over the time over which they are struck
-	// one after the other.
-	Duration   time.Duration
-	Spread     time.Duration
+	// Duration is how long the fault lasts at each affected server or box.
+	Duration time.Duration
+	// Spread is the period after At over which the starts of the fault are evenly distributed.
+	Spread time.Duration
+	// RetryAfter is the backoff that rejecting servers request.
 	RetryAfter time.Duration
 	// Limit is the rate limit of each affected server, in requests per second.
-	Limit  float64
+	Limit float64
+	// Factor multiplies the traffic of a burst or the time that slow servers take.
 	Factor float64
 }
--- a/internal/lab/engine.go
+++ b/internal/lab/engine.go
@@ -8,51 +8,57 @@
 	"github.com/cinderslip/cinderslip/pkg/fleet"
 )
 
-// job is one request at a server.
+// job is a request at a server.
 type job struct {
 	promptTokens, responseTokens int
-	// remainingPrompt and unwritten are the tokens that are left.
+	// remainingPrompt and remainingResponse are the tokens that are not processed or generated yet.
 	remainingPrompt, remainingResponse int
-	unreported                         int
-	// onEvent is called at each event, ended once: with whole set after the last token.
+	// unreported counts the tokens since the last event; -1 when the current pass completes the prefill.
+	unreported int
+	// onEvent is called for each event. onEnd is called once: with complete set after the last token, or without it if
+	// the server stops.
 	onEvent func()
-	onEnd   func(whole bool)
+	onEnd   func(complete bool)
+	// dropped is set once the request is canceled or the server has stopped.
 	dropped bool
 }
 
-// engine is a model server.
+// engine is a simulated model server.
 type engine struct {
 	Engine
 
 	id     fleet.ServerID
 	region int
-	// boxes are the entry boxes of its cell.
+	// boxes are the entry boxes of the server's cell.
 	boxes    []*box
 	timeline *virtual.Timeline
 	running  []*job
 	queue    []*job
-	// up is false while it is down, open while it takes new requests.
+	// up is set while the server runs, accepting while it accepts requests.
 	up, accepting bool
-	// rejecting is set while it takes nothing and asks for rest, if that is not 0.
+	// rejecting is set while the server rejects all requests. It then requests a backoff of retryAfter, unless that
+	// is 0.
 	rejecting  bool
 	retryAfter time.Duration
-	// limitRecord is set while the server has a rate limit.
+	// limitRecord is non-nil while the server has a rate limit.
 	limitRecord *limitRecord
-	// backoffs are the rests that boxes have been asked for.
+	// backoffs are the last backoffs that the server requested, by box.
 	backoffs map[*box]backoffWindow
 	slowdown float64
-	active   bool
-	// incarnation changes when the server goes down, so that planned passes lapse.
+	// active is set while a pass is scheduled.
+	active bool
+	// incarnation changes when the server stops, which invalidates the scheduled pass.
 	incarnation int
 }
 
-// backoffWindow is a rest that a server has asked a box for: it wants nothing from the box between two moments.
+// backoffWindow is the period in which a box must not send requests to a server that has requested a backoff.
 type backoffWindow struct{ from, until time.Time }
 
-// backoffGrace is how long after a server has asked for rest what is on its way may still come.
+// backoffGrace is how long after a requested backoff requests may still arrive that were sent before the box received
+// it.
 const backoffGrace = 500 * time.Millisecond
 
-// requestBackoff asks a box for rest.
+// requestBackoff records that the server requests a backoff from a box.
 func (e *engine) requestBackoff(b *box) {
 	if e.retryAfter == 0 {
 		return
@@ -64,15 +70,16 @@
 	e.backoffs[b] = backoffWindow{from: now.Add(backoffGrace), until: now.Add(e.retryAfter)}
 }
 
-// countDuringBackoff counts a request that comes within a rest that its box was asked for.
+// countDuringBackoff counts a request that arrives during the backoff requested from its box.
 func (e *engine) countDuringBackoff(b *box, result *Result) {
-	asked, ok := e.backoffs[b]
-	if now := e.timeline.Now(); ok && now.After(asked.from) && now.Before(asked.until) {
+	window, ok := e.backoffs[b]
+	if now := e.timeline.Now(); ok && now.After(window.from) && now.Before(window.until) {
 		result.DuringBackoff++
 	}
 }
 
-// submit takes a request; false if there is no room or the server is closed.
+// submit queues a request and reports whether the server accepted it. It rejects requests while its queue is full,
+// during a weight swap and while it is down.
 func (e *engine) submit(j *job) bool {
 	if !e.up || !e.accepting || len(e.running)+len(e.queue) >= e.Slots+e.Queue {
 		return false
@@ -83,9 +90,10 @@
 	return true
 }
 
-// cancel drops a request whose caller has left.
+// cancel drops a request whose caller has disconnected.
 func (e *engine) cancel(j *job) { j.dropped = true }
 
+// wake starts a pass if none is scheduled.
 func (e *engine) wake() {
 	if e.active || !e.up {
 		return
@@ -94,37 +102,38 @@
 	e.pass()
 }
 
-// pass plays one pass over all that is there: a piece of the prompts that are unread
-// and a stride of token steps for those that write.
+// pass simulates one pass over the running requests: StepsBetweenPrefills token steps, each with up to
+// PrefillChunkTokens prompt tokens and one token of every request in the decode phase. It schedules the next pass for
+// the end of this one.
 func (e *engine) pass() {
 	e.admit()
 	if len(e.running) == 0 {
 		e.active = false
 		return
 	}
-	writers, read := e.planPass()
-	taken := time.Duration(float64(read) / e.PrefillTokensPerSecond * float64(time.Second))
-	if writers > 0 {
-		taken += time.Duration(e.StepsBetweenPrefills) * (e.StepTime + time.Duration(writers)*e.StepTimePerRequest)
+	decoding, prefilled := e.planPass()
+	duration := time.Duration(float64(prefilled) / e.PrefillTokensPerSecond * float64(time.Second))
+	if decoding > 0 {
+		duration += time.Duration(e.StepsBetweenPrefills) * (e.StepTime + time.Duration(decoding)*e.StepTimePerRequest)
 	}
-	life := e.incarnation
-	e.timeline.AfterFunc(time.Duration(float64(taken)*e.slowdown), func() {
-		if life == e.incarnation {
+	incarnation := e.incarnation
+	e.timeline.AfterFunc(time.Duration(float64(duration)*e.slowdown), func() {
+		if incarnation == e.incarnation {
 			e.finishPass()
 			e.pass()
 		}
 	})
 }
 
-// admit lets waiting requests into the batch.
+// admit removes dropped requests from the batch and fills it from the queue.
 func (e *engine) admit() {
-	keep := e.running[:0]
+	kept := e.running[:0]
 	for _, j := range e.running {
 		if !j.dropped {
-			keep = append(keep, j)
+			kept = append(kept, j)
 		}
 	}
-	e.running = keep
+	e.running = kept
 	for len(e.queue) > 0 && len(e.running) < e.Slots {
 		j := e.queue[0]
 		e.queue = e.queue[1:]
@@ -134,47 +143,47 @@
 	}
 }
 
-// planPass reads a piece of the prompts, the earliest first, and returns how many requests
-// write and how many tokens are read in the pass.
-func (e *engine) planPass() (writers, read int) {
+// planPass distributes the pass's prefill tokens among the running requests in order. It returns the number of requests
+// in the decode phase and the number of prompt tokens processed in the pass.
+func (e *engine) planPass() (decoding, prefilled int) {
 	for _, j := range e.running {
 		if j.remainingPrompt == 0 {
-			writers++
+			decoding++
 			continue
 		}
-		piece := min(j.remainingPrompt, e.PrefillChunkTokens*e.StepsBetweenPrefills-read)
-		j.remainingPrompt -= piece
-		read += piece
+		chunk := min(j.remainingPrompt, e.PrefillChunkTokens*e.StepsBetweenPrefills-prefilled)
+		j.remainingPrompt -= chunk
+		prefilled += chunk
 		if j.remainingPrompt == 0 {
-			// The first token comes at the end of this pass.
+			// The first token is generated at the end of this pass.
 			j.unreported = -1
 		}
 	}
-	return writers, read
+	return decoding, prefilled
 }
 
-// finishPass tells what the pass has made.
+// finishPass generates the tokens of a pass, reports them, and ends the completed requests.
 func (e *engine) finishPass() {
-	ended := e.running[:0]
-	var whole []*job
+	unfinished := e.running[:0]
+	var finished []*job
 	for _, j := range e.running {
 		if j.dropped {
 			continue
 		}
 		if e.decode(j); j.remainingResponse > 0 {
-			ended = append(ended, j)
+			unfinished = append(unfinished, j)
 			continue
 		}
-		whole = append(whole, j)
+		finished = append(finished, j)
 	}
-	e.running = ended
-	for _, j := range whole {
+	e.running = unfinished
+	for _, j := range finished {
 		j.onEvent()
 		j.onEnd(true)
 	}
 }
 
-// decode plays the stride of one request.
+// decode generates the tokens of one request in a pass.
 func (e *engine) decode(j *job) {
 	switch {
 	case j.unreported < 0:
@@ -191,19 +200,20 @@
 	}
 }
 
+// emit reports the first token unless the request was dropped.
 func (j *job) emit() {
 	if !j.dropped {
 		j.onEvent()
 	}
 }
 
-// stop ends all that runs and waits here.
+// stop drops all running and queued requests.
 func (e *engine) stop() {
 	e.incarnation++
 	e.active = false
-	cut := slices.Concat(e.running, e.queue)
+	jobs := slices.Concat(e.running, e.queue)
 	e.running, e.queue = nil, nil
-	for _, j := range cut {
+	for _, j := range jobs {
 		if !j.dropped {
 			j.dropped = true
 			j.onEnd(false)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -9,8 +9,8 @@
 	"github.com/cinderslip/cinderslip/internal/virtual"
 )
 
-// smallDeployment is a deployment of nine entry boxes and thirteen servers, which at level 1 is
-// asked for a third more than its servers can do.
+// smallDeployment returns a deployment of nine entry boxes and 13 servers. At level 1 the traffic exceeds the capacity
+// of the servers by a third.
 func smallDeployment(level float64) *Deployment {
 	kind := RequestKind{
 		PromptSpread: 0.7, Response: 144, ResponseSpread: 0.6, Objective: 400 * time.Millisecond, MaxEventGap: 300 * time.Millisecond,
@@ -44,10 +44,10 @@
 	}
 	deployment := smallDeployment(0.6)
 	deployment.Duration = 15 * time.Second
-	one, same, other := Run(deployment, faults, 1), Run(deployment, faults, 1), Run(deployment, faults, 2)
-	require.Equal(t, one.Seconds, same.Seconds)
-	require.Equal(t, one.Score(), same.Score())
-	require.NotEqual(t, one.Seconds, other.Seconds)
+	first, same, other := Run(deployment, faults, 1), Run(deployment, faults, 1), Run(deployment, faults, 2)
+	require.Equal(t, first.Seconds, same.Seconds)
+	require.Equal(t, first.Score(), same.Score())
+	require.NotEqual(t, first.Seconds, other.Seconds)
 }
 
 func TestModerateLoadIsServedInTime(t *testing.T) {
@@ -67,40 +67,41 @@
 	require.InDelta(t, 1.2*189*30, all.Total(), 300)
 }
 
-// A server alone makes what its figures say: a batch of 16 plays 6 steps in 42.5 ms.
+// A batch of 16 requests takes 42.5 ms for a pass of 6 token steps, so one prefill pass and 20 decode passes end within
+// 1.1 s.
 func TestEngineTimingMatchesItsParameters(t *testing.T) {
 	var line virtual.Timeline
 	e := &engine{Engine: smallDeployment(1).Engine, timeline: &line, up: true, accepting: true, slowdown: 1}
-	done, begun := 0, 0
+	completedJobs, startedJobs := 0, 0
 	for range e.Slots {
 		started := false
 		ok := e.submit(&job{promptTokens: 100, responseTokens: 121, onEvent: func() {
 			if !started {
 				started = true
-				begun++
+				startedJobs++
 			}
-		}, onEnd: func(whole bool) {
-			require.True(t, whole)
-			done++
+		}, onEnd: func(complete bool) {
+			require.True(t, complete)
+			completedJobs++
 		}})
 		require.True(t, ok)
 	}
 	line.Run(300 * time.Millisecond)
-	require.Equal(t, e.Slots, begun)
-	require.Zero(t, done)
+	require.Equal(t, e.Slots, startedJobs)
+	require.Zero(t, completedJobs)
 	line.Run(1100 * time.Millisecond)
-	require.Equal(t, e.Slots, done, "a pass to read, 20 strides of 42.5 ms to write")
+	require.Equal(t, e.Slots, completedJobs, "one prefill pass, then 20 decode passes of 42.5 ms")
 }
 
 func TestCrashedEngineEndsItsRequests(t *testing.T) {
 	var line virtual.Timeline
 	e := &engine{Engine: smallDeployment(1).Engine, timeline: &line, up: true, accepting: true, slowdown: 1}
-	var ended []bool
-	require.True(t, e.submit(&job{promptTokens: 100, responseTokens: 121, onEvent: func() {}, onEnd: func(whole bool) { ended = append(ended, whole) }}))
+	var results []bool
+	require.True(t, e.submit(&job{promptTokens: 100, responseTokens: 121, onEvent: func() {}, onEnd: func(complete bool) { results = append(results, complete) }}))
 	line.Run(100 * time.Millisecond)
 	e.up = false
 	e.stop()
 	line.Run(10 * time.Second)
-	require.Equal(t, []bool{false}, ended)
+	require.Equal(t, []bool{false}, results)
 	require.False(t, e.submit(&job{}))
 }
--- a/internal/lab/limit.go
+++ b/internal/lab/limit.go
@@ -8,24 +8,27 @@
 	"github.com/cinderslip/cinderslip/pkg/fleet"
 )
 
-// In any ratewindow.Window, a server with a rate limit must not receive more than ratewindow.Allowed requests from all entry boxes that
-// have known of the limit for limitReactionTime. Windows that end less than limitGrace after the limit was set are not checked.
+// In any ratewindow.Window, a server with a rate limit must not receive more than ratewindow.Allowed requests from all
+// entry boxes together that received the limit at least limitReactionTime before. Windows that end less than limitGrace
+// after the limit was set are not checked.
 const (
 	limitReactionTime = 500 * time.Millisecond
 	limitGrace        = 3 * time.Second
 )
 
-// limitRecord records the requests that a server with a rate limit has received.
+// limitRecord records the requests received by a server with a rate limit.
 type limitRecord struct {
 	perSecond float64
-	since     time.Time
-	// receivedAt is when each box first received an answer with the limit.
+	// since is when the limit was set.
+	since time.Time
+	// receivedAt is when each box first received a response with the limit.
 	receivedAt map[*box]time.Time
-	// arrivals are the times of all requests; counted are those from boxes that had known of the limit for limitReactionTime.
+	// arrivals are the times of all requests. counted are those of requests from boxes that had received the limit at
+	// least limitReactionTime before and were never killed or partitioned.
 	arrivals, counted []time.Time
 }
 
-// setLimit sets the server's rate limit; its answers carry it from then on.
+// setLimit sets the server's rate limit; its responses advertise it from then on.
 func (e *engine) setLimit(perSecond float64) {
 	e.limitRecord = &limitRecord{perSecond: perSecond, since: e.timeline.Now(), receivedAt: make(map[*box]time.Time)}
 }
@@ -37,12 +40,12 @@
 	}
 	now := e.timeline.Now()
 	e.limitRecord.arrivals = append(e.limitRecord.arrivals, now)
-	if told, ok := e.limitRecord.receivedAt[b]; ok && now.Sub(told) >= limitReactionTime && !b.hadFault {
+	if receivedAt, ok := e.limitRecord.receivedAt[b]; ok && now.Sub(receivedAt) >= limitReactionTime && !b.hadFault {
 		e.limitRecord.counted = append(e.limitRecord.counted, now)
 	}
 }
 
-// clearLimit removes the server's rate limit and adds its excess and utilization to the result.
+// clearLimit removes the server's rate limit and records the excess and the utilization in the result.
 func (e *engine) clearLimit(result *Result) {
 	l := e.limitRecord
 	e.limitRecord = nil
@@ -51,13 +54,13 @@
 			result.LimitExcess = max(result.LimitExcess, float64(count)-ratewindow.Allowed(l.perSecond))
 		}
 	})
-	used := 0
+	received := 0
 	for _, at := range l.arrivals {
 		if at.Sub(l.since) >= limitGrace {
-			used++
+			received++
 		}
 	}
-	result.LimitUtilization = append(result.LimitUtilization, float64(used)/(l.perSecond*(e.timeline.Now().Sub(l.since)-limitGrace).Seconds()))
+	result.LimitUtilization = append(result.LimitUtilization, float64(received)/(l.perSecond*(e.timeline.Now().Sub(l.since)-limitGrace).Seconds()))
 }
 
 // limit returns the rate limit that the server advertises.
@@ -68,7 +71,7 @@
 	return fleet.RateLimit{Set: true, PerSecond: e.limitRecord.perSecond}
 }
 
-// observeLimit records the rate limit in an answer and, if it has changed, reports it to the other boxes of the cell.
+// observeLimit records the rate limit in a response and, if it has changed, reports it to the other boxes of the cell.
 func (b *box) observeLimit(e *engine) {
 	if e.limitRecord != nil && e.limitRecord.receivedAt[b].IsZero() {
 		e.limitRecord.receivedAt[b] = b.sim.Now()
@@ -78,9 +81,9 @@
 		return
 	}
 	for _, other := range b.peers {
-		life := other.incarnation
+		incarnation := other.incarnation
 		b.sim.AfterFunc(b.sim.deployment.ReportInterval+b.sim.delay(b.region, other.region), func() {
-			if other.incarnation == life && other.up && !b.partitioned && !other.partitioned {
+			if other.incarnation == incarnation && other.up && !b.partitioned && !other.partitioned {
 				other.updateLimit(e.id, limit)
 			}
 		})
@@ -102,7 +105,7 @@
 	return false
 }
 
-// initLimits sets the rate limits of a box that starts to the lowest that its peers know.
+// initLimits sets each server's rate limit at a starting box to the lowest that a running peer has recorded.
 func (b *box) initLimits() {
 	for i := range b.servers {
 		b.servers[i].Limit = fleet.RateLimit{}
@@ -114,11 +117,11 @@
 	}
 }
 
-// minLimitUtilization returns the lowest utilization of a rate limit; infinity if no server was limited.
+// minLimitUtilization returns the lowest utilization of a rate limit, or infinity if no server had one.
 func (r *Result) minLimitUtilization() float64 {
 	lowest := math.Inf(1)
-	for _, used := range r.LimitUtilization {
-		lowest = min(lowest, used)
+	for _, utilization := range r.LimitUtilization {
+		lowest = min(lowest, utilization)
 	}
 	return lowest
 }
--- a/internal/lab/limit_test.go
+++ b/internal/lab/limit_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// limitFault makes a part of the servers advertise a rate limit.
+// limitFault returns a fault that makes a share of the servers advertise a rate limit.
 func limitFault(share, perSecond float64) Fault {
 	return Fault{Kind: FaultServersLimited, At: 3 * time.Second, Share: share, Duration: 11 * time.Second, Limit: perSecond}
 }
 
-// Guards against each entry box applying the whole rate limit of a server, and against leaving a limit unused under load.
+// Guards against each entry box using a server's full rate limit on its own, and against unused rate limits under load.
 func TestBoxesShareAndUseRateLimits(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -32,7 +32,7 @@
 				deployment.Duration = 15 * time.Second
 				result := Run(&deployment, []Fault{limitFault(0.15, perSecond)}, 1)
 				all := result.Between(3*time.Second, 14*time.Second)
-				t.Logf("excess %v, lowest use %.2f, in time %.3f", result.LimitExcess, result.minLimitUtilization(), all.Share(OutcomeInTime))
+				t.Logf("excess %v, lowest utilization %.2f, share in time %.3f", result.LimitExcess, result.minLimitUtilization(), all.Share(OutcomeInTime))
 				require.Zero(t, result.LimitExcess)
 				require.Greater(t, result.minLimitUtilization(), 0.8)
 			})
@@ -48,13 +48,13 @@
 		for i := range deployment.Regions {
 			deployment.Regions[i].Boxes = boxes
 		}
-		deployment.ReportInterval = time.Duration(rapid.IntRange(20, 100).Draw(t, "tell_ms")) * time.Millisecond
+		deployment.ReportInterval = time.Duration(rapid.IntRange(20, 100).Draw(t, "report_ms")) * time.Millisecond
 		deployment.Duration = 15 * time.Second
 		faults := []Fault{
 			limitFault(rapid.Float64Range(0.1, 1).Draw(t, "share"), rapid.SampledFrom([]float64{0.05, 0.4, 1, 1.9, 5, 20}).Draw(t, "limit")),
 			{
 				Kind: rapid.SampledFrom([]FaultKind{FaultBoxesDown, FaultBoxesPartitioned, FaultServersDown, FaultSwap, FaultBurst}).Draw(t, "kind"),
-				At:   6 * time.Second, Share: rapid.Float64Range(0.1, 0.9).Draw(t, "struck"), Factor: 2,
+				At:   6 * time.Second, Share: rapid.Float64Range(0.1, 0.9).Draw(t, "fault_share"), Factor: 2,
 				Duration: time.Duration(rapid.IntRange(300, 4000).Draw(t, "down_ms")) * time.Millisecond,
 			},
 		}
--- a/internal/lab/remote_test.go
+++ b/internal/lab/remote_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// mediumDeployment is a deployment of 41 entry boxes and 76 servers in three regions, whose boxes tell
-// those of other regions what they have in flight as often as 27 of them are told. At level 1
-// it is asked for 0.8 of what its servers can do.
+// mediumDeployment returns a deployment of 41 entry boxes and 76 servers in three regions. Its boxes report to other
+// regions at the interval that a box in production uses with 27 followers in other regions. At level 1 the utilization
+// of its servers is 0.8.
 func mediumDeployment(level float64) *Deployment {
 	kind := RequestKind{
 		PromptSpread: 0.7, Response: 105, ResponseSpread: 0.5, Objective: 400 * time.Millisecond, MaxEventGap: 400 * time.Millisecond,
@@ -33,9 +33,8 @@
 	}
 }
 
-// At the busiest hour two or three boxes sent to one server at the same moment, as those of other
-// regions heard of each other late: one request in 25 was late though a fifth of the places was
-// free.
+// Guards against two or three boxes of different regions that send to the same server at the same time, because they
+// receive each other's reports late. At the peak, one response in 25 was late although a fifth of the slots was free.
 func TestFewRequestsAreLateAtPeakWithDelayedRemoteReports(t *testing.T) {
 	deployment := mediumDeployment(1)
 	peak := Run(deployment, nil, 1).Between(4*time.Second, 11*time.Second)
@@ -43,10 +42,10 @@
 	require.Zero(t, peak[OutcomeRejected])
 }
 
-// With half as much again as its servers can do, a deployment answers in time most of what they
-// can.
+// Guards against slots being used mostly by late requests during a sustained overload, here with traffic of one and a
+// half times the capacity.
 func TestMostResponsesAreInTimeUnderSustainedOverload(t *testing.T) {
-	over := Run(mediumDeployment(1.9), nil, 1).Between(4*time.Second, 11*time.Second)
-	late, inTime := over.Share(OutcomeLate), over.Share(OutcomeInTime)
-	require.Greater(t, inTime, 4*late, "%v", over)
+	overload := Run(mediumDeployment(1.9), nil, 1).Between(4*time.Second, 11*time.Second)
+	late, inTime := overload.Share(OutcomeLate), overload.Share(OutcomeInTime)
+	require.Greater(t, inTime, 4*late, "%v", overload)
 }
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -9,72 +9,75 @@
 	"github.com/cinderslip/cinderslip/internal/virtual"
 )
 
-// Outcome is what became of a caller.
+// Outcome is the outcome of a caller.
 type Outcome int
 
-// The outcomes.
+// Outcomes of a caller.
 const (
-	// OutcomeInTime is a whole answer that began in time and did not pause for long.
+	// OutcomeInTime is a complete response that met the objective and the maximum event gap.
 	OutcomeInTime Outcome = iota
-	// OutcomeLate is any other whole answer.
+	// OutcomeLate is any other complete response.
 	OutcomeLate
-	// OutcomeRejected is a caller that was refused for good.
+	// OutcomeRejected is a caller that was rejected and had no retry left.
 	OutcomeRejected
-	// OutcomeFailed is a caller that got no whole answer for another reason.
+	// OutcomeFailed is a caller that received no complete response for another reason.
 	OutcomeFailed
 
 	outcomeCount
 )
 
-// OutcomeCounts is how many callers had each outcome.
+// OutcomeCounts are the numbers of callers by outcome.
 type OutcomeCounts [outcomeCount]int
 
-// Total is how many callers there were.
+// Total returns the number of callers.
 func (c *OutcomeCounts) Total() int {
-	all := 0
+	total := 0
 	for _, n := range c {
-		all += n
+		total += n
 	}
-	return all
+	return total
 }
 
-// Share is the part of the callers with an outcome; 0 if there were none.
+// Share returns the fraction of the callers that had an outcome, or 0 if there are no callers.
 func (c *OutcomeCounts) Share(outcome Outcome) float64 {
-	all := c.Total()
-	if all == 0 {
+	total := c.Total()
+	if total == 0 {
 		return 0
 	}
-	return float64(c[outcome]) / float64(all)
+	return float64(c[outcome]) / float64(total)
 }
 
-// sizedOutcome is the outcome of a caller by the size of its prompt.
+// sizedOutcome is the outcome of a caller with its prompt length in tokens.
 type sizedOutcome struct {
 	prompt  int
 	outcome Outcome
 }
 
-// Result is what a run has shown.
+// Result is the result of a simulation.
 type Result struct {
 	deployment *Deployment
-	// Seconds are the outcomes of callers by the second in which they asked first.
+	// Seconds are the outcomes by the second in which the caller sent its first attempt.
 	Seconds []OutcomeCounts
-	// Kinds are the outcomes by kind of request.
+	// Kinds are the outcomes by the name of the request kind.
 	Kinds         map[string]*OutcomeCounts
 	sizedOutcomes map[string][]sizedOutcome
-	// PossibleValue and Earned are worth; Priced is what is taken off for callers that were
-	// held in vain or refused again.
+	// PossibleValue is the value of all requests if every response were in time, EarnedValue that of the actual
+	// responses. Penalties are deducted for callers that waited in vain or were rejected repeatedly.
 	PossibleValue, EarnedValue, Penalties float64
-	// RejectedAttempts is how many attempts came to servers that took nothing, DuringBackoff how many of all attempts came
-	// half a second or more after such a server had asked their box for rest, and before that was over.
+	// RejectedAttempts counts the attempts that arrived at servers affected by FaultServersRejecting. DuringBackoff
+	// counts all attempts that arrived at such a server during the backoff that it had requested from the box, except
+	// those in the first backoffGrace (half a second).
 	RejectedAttempts, DuringBackoff int
-	// LimitExcess is the largest number of requests above the allowed number that a server with a rate limit received in a
-	// ratewindow.Window; 0 if none did. LimitUtilization is the utilization of each rate limit.
+	// LimitExcess is the largest number of requests above ratewindow.Allowed that a server with a rate limit received in
+	// a ratewindow.Window; 0 if none did. LimitUtilization is the utilization of each rate limit.
 	LimitExcess      float64
 	LimitUtilization []float64
 }
 
-// The prices, as parts of a request's worth, are those of the project's own measure: a
-// second refusal, and holding a caller for most of its time to no end.
+// A caller without a complete response is penalized by a fraction of its request's value. The fraction grows with the
+// duration of the last attempt, less an eighth of the objective, up to 1 at fullPenaltyDeadlineShare of the deadline.
+// repeatedRejectionPenalty is added if the caller had retried. Both values are those of the project's own quality
+// measure.
 const (
 	repeatedRejectionPenalty = 0.3
 	fullPenaltyDeadlineShare = 0.75
@@ -87,6 +90,7 @@
 	}
 }
 
+// add records the outcome of a caller.
 func (r *Result) add(c *caller, outcome Outcome) {
 	if second := int(c.arrivedAt.Sub(virtual.Epoch) / time.Second); second < len(r.Seconds) {
 		r.Seconds[second][outcome]++
@@ -106,16 +110,17 @@
 	case OutcomeLate:
 		r.EarnedValue += size * c.kind.LateValue
 	case OutcomeRejected, OutcomeFailed:
-		held := c.sim.Now().Sub(c.sentAt) - c.kind.Objective/8
-		part := min(1, max(0, float64(held)/(fullPenaltyDeadlineShare*float64(c.kind.Deadline))))
+		waited := c.sim.Now().Sub(c.sentAt) - c.kind.Objective/8
+		penalty := min(1, max(0, float64(waited)/(fullPenaltyDeadlineShare*float64(c.kind.Deadline))))
 		if c.attempts > 1 {
-			part += repeatedRejectionPenalty
+			penalty += repeatedRejectionPenalty
 		}
-		r.Penalties += part * size * c.kind.Value
+		r.Penalties += penalty * size * c.kind.Value
 	}
 }
 
-// Between sums the outcomes of the callers that asked first in some seconds.
+// Between sums the outcomes of the callers whose first attempt was sent in [from, to), rounded down to whole
+// seconds.
 func (r *Result) Between(from, to time.Duration) OutcomeCounts {
 	var sum OutcomeCounts
 	for second := int(from / time.Second); second < min(int(to/time.Second), len(r.Seconds)); second++ {
@@ -126,10 +131,10 @@
 	return sum
 }
 
-// All sums the outcomes of all callers.
+// All returns the outcomes of all callers.
 func (r *Result) All() OutcomeCounts { return r.Between(0, r.deployment.Duration+time.Second) }
 
-// Score is what was earned, less the prices, as a part of what was owed.
+// Score returns the earned value less the penalties, as a fraction of the possible value; 0 without callers.
 func (r *Result) Score() float64 {
 	if r.PossibleValue == 0 {
 		return 0
@@ -137,26 +142,26 @@
 	return (r.EarnedValue - r.Penalties) / r.PossibleValue
 }
 
-// LargestInTime returns the part of the largest tenth of a kind's requests that was answered
-// in time, and of all of them.
+// LargestInTime returns the fractions of a kind's requests with responses in time: among the tenth with the largest
+// prompts, and among all.
 func (r *Result) LargestInTime(kind string) (largest, all float64) {
-	sized := slices.SortedFunc(slices.Values(r.sizedOutcomes[kind]), func(a, b sizedOutcome) int { return b.prompt - a.prompt })
-	var tenth, whole OutcomeCounts
-	for i, s := range sized {
-		whole[s.outcome]++
-		if i < len(sized)/10 {
+	sorted := slices.SortedFunc(slices.Values(r.sizedOutcomes[kind]), func(a, b sizedOutcome) int { return b.prompt - a.prompt })
+	var tenth, total OutcomeCounts
+	for i, s := range sorted {
+		total[s.outcome]++
+		if i < len(sorted)/10 {
 			tenth[s.outcome]++
 		}
 	}
-	return tenth.Share(OutcomeInTime), whole.Share(OutcomeInTime)
+	return tenth.Share(OutcomeInTime), total.Share(OutcomeInTime)
 }
 
-// String tells the seconds one line each, for reading by people.
+// String returns a human-readable table with one line per second.
 func (r *Result) String() string {
 	var text strings.Builder
 	for second := range r.Seconds {
 		c := &r.Seconds[second]
-		_, _ = fmt.Fprintf(&text, "%3d  %4d asked, %.2f in time, %.2f late, %.2f refused, %.2f failed\n", second, c.Total(),
+		_, _ = fmt.Fprintf(&text, "%3d  %4d callers, %.2f in time, %.2f late, %.2f rejected, %.2f failed\n", second, c.Total(),
 			c.Share(OutcomeInTime), c.Share(OutcomeLate), c.Share(OutcomeRejected), c.Share(OutcomeFailed))
 	}
 	return text.String()
--- a/internal/lab/seed_test.go
+++ b/internal/lab/seed_test.go
@@ -2,7 +2,6 @@
 
 import "flag"
 
-// init fixes the seed of the randomised runs, so that every run gives the same
-// verdict. The flag -rapid.seed still chooses another one, and -rapid.checks
-// makes the runs longer.
+// init sets a fixed seed for the property tests, so that every run gives the same result. The flag -rapid.seed
+// overrides it, and -rapid.checks sets the number of cases.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
--- a/internal/lab/simulation.go
+++ b/internal/lab/simulation.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// initialHoldTime and initialTTFB are what dispatchers start from.
+	// initialHoldTime and initialTTFB are the dispatchers' initial estimates.
 	initialHoldTime = time.Second
 	initialTTFB     = 120 * time.Millisecond
-	// stateInterval is how often an agent tells of its server if nothing changes.
+	// stateInterval is the interval at which an agent reports the state of its server.
 	stateInterval = 400 * time.Millisecond
-	// weightsVersion is the version that all servers have.
+	// weightsVersion is the version that all servers have loaded.
 	weightsVersion fleet.WeightsVersion = 1
 )
 
-// simulation is one run of a deployment.
+// simulation is one simulation of a deployment.
 type simulation struct {
 	virtual.Timeline
 	deployment *Deployment
@@ -32,28 +32,28 @@
 	servers    []*engine
 	serverList []fleet.Server
 	byID       map[fleet.ServerID]*engine
-	// burstFactor multiplies the traffic.
+	// burstFactor is the product of the factors of all current bursts.
 	burstFactor float64
 	result      *Result
 }
 
-// Run plays a deployment with faults. The same seed gives the same result.
+// Run simulates a deployment with faults. The same seed gives the same result.
 func Run(deployment *Deployment, faults []Fault, seed uint64) *Result {
-	w := &simulation{
+	s := &simulation{
 		deployment: deployment, random: rand.New(rand.NewPCG(seed, 1)), byID: make(map[fleet.ServerID]*engine), burstFactor: 1,
 		result: newResult(deployment),
 	}
-	w.build()
+	s.build()
 	for i := range faults {
-		w.scheduleFault(&faults[i])
+		s.scheduleFault(&faults[i])
 	}
 	for region := range deployment.Regions {
 		for kind := range deployment.Kinds {
-			w.scheduleArrival(region, &deployment.Kinds[kind])
+			s.scheduleArrival(region, &deployment.Kinds[kind])
 		}
 	}
-	w.Run(deployment.Duration + longestDeadline(deployment))
-	return w.result
+	s.Run(deployment.Duration + longestDeadline(deployment))
+	return s.result
 }
 
 func longestDeadline(deployment *Deployment) time.Duration {
@@ -64,65 +64,65 @@
 	return longest
 }
 
-// build makes the servers and the entry boxes.
-func (w *simulation) build() {
-	for region, sizes := range w.deployment.Regions {
+// build creates the servers and the entry boxes and starts them.
+func (s *simulation) build() {
+	for region, sizes := range s.deployment.Regions {
 		for range sizes.Servers {
 			e := &engine{
-				Engine: w.deployment.Engine, id: fleet.ServerID(fmt.Sprintf("server-%d", len(w.servers))), region: region,
-				timeline: &w.Timeline, up: true, accepting: true, slowdown: 1,
+				Engine: s.deployment.Engine, id: fleet.ServerID(fmt.Sprintf("server-%d", len(s.servers))), region: region,
+				timeline: &s.Timeline, up: true, accepting: true, slowdown: 1,
 			}
-			w.servers = append(w.servers, e)
-			w.byID[e.id] = e
-			w.serverList = append(w.serverList, fleet.Server{
+			s.servers = append(s.servers, e)
+			s.byID[e.id] = e
+			s.serverList = append(s.serverList, fleet.Server{
 				ID: e.id, Slots: e.Slots, Domain: domainOf(region),
 				Models: []fleet.LoadedModel{{Name: "model", Version: weightsVersion}},
 			})
 		}
 	}
-	for region, sizes := range w.deployment.Regions {
+	for region, sizes := range s.deployment.Regions {
 		for range sizes.Boxes {
-			b := &box{sim: w, id: member.BoxID(fmt.Sprintf("entry-%d", len(w.boxes))), region: region}
-			w.boxes = append(w.boxes, b)
+			b := &box{sim: s, id: member.BoxID(fmt.Sprintf("entry-%d", len(s.boxes))), region: region}
+			s.boxes = append(s.boxes, b)
 		}
 	}
-	w.assignCells()
-	for _, b := range w.boxes {
+	s.assignCells()
+	for _, b := range s.boxes {
 		b.start()
 	}
-	for _, e := range w.servers {
-		w.reportStatePeriodically(e)
+	for _, e := range s.servers {
+		s.reportStatePeriodically(e)
 	}
 }
 
-// assignCells makes the cells, an equal part of each region in each.
-func (w *simulation) assignCells() {
-	cells := w.deployment.Cells
+// assignCells assigns boxes and servers to cells. The boxes and servers of each region are divided evenly.
+func (s *simulation) assignCells() {
+	cells := s.deployment.Cells
 	if cells == 0 {
-		cells = member.CellCount(len(w.boxes), len(w.servers))
+		cells = member.CellCount(len(s.boxes), len(s.servers))
 	}
-	boxes, servers := make([][]member.BoxID, len(w.deployment.Regions)), make([][]fleet.ServerID, len(w.deployment.Regions))
-	for _, b := range w.boxes {
+	boxes, servers := make([][]member.BoxID, len(s.deployment.Regions)), make([][]fleet.ServerID, len(s.deployment.Regions))
+	for _, b := range s.boxes {
 		boxes[b.region] = append(boxes[b.region], b.id)
 	}
-	for _, e := range w.servers {
+	for _, e := range s.servers {
 		servers[e.region] = append(servers[e.region], e.id)
 	}
-	ofBox, ofServer := make(map[member.BoxID]int), make(map[fleet.ServerID]int)
-	for region := range w.deployment.Regions {
-		maps.Copy(ofBox, member.AssignCells(boxes[region], cells))
-		maps.Copy(ofServer, member.AssignCells(servers[region], cells))
+	boxCells, serverCells := make(map[member.BoxID]int), make(map[fleet.ServerID]int)
+	for region := range s.deployment.Regions {
+		maps.Copy(boxCells, member.AssignCells(boxes[region], cells))
+		maps.Copy(serverCells, member.AssignCells(servers[region], cells))
 	}
-	for _, b := range w.boxes {
-		for _, other := range w.boxes {
-			if other != b && ofBox[other.id] == ofBox[b.id] {
+	for _, b := range s.boxes {
+		for _, other := range s.boxes {
+			if other != b && boxCells[other.id] == boxCells[b.id] {
 				b.peers = append(b.peers, other)
 			}
 		}
-		for _, server := range w.serverList {
-			if ofServer[server.ID] == ofBox[b.id] {
+		for _, server := range s.serverList {
+			if serverCells[server.ID] == boxCells[b.id] {
 				b.servers = append(b.servers, server)
-				w.byID[server.ID].boxes = append(w.byID[server.ID].boxes, b)
+				s.byID[server.ID].boxes = append(s.byID[server.ID].boxes, b)
 			}
 		}
 	}
@@ -132,22 +132,22 @@
 	return member.FailureDomain(fmt.Sprintf("region-%d", region))
 }
 
-// delay is the time of a message between two regions, one way.
-func (w *simulation) delay(from, to int) time.Duration {
+// delay returns the one-way delay of a message from one region to another or within one.
+func (s *simulation) delay(from, to int) time.Duration {
 	if from == to {
-		return w.deployment.BoxDelay
+		return s.deployment.BoxDelay
 	}
-	return w.deployment.RegionDelay
+	return s.deployment.RegionDelay
 }
 
-// reportStatePeriodically tells the entry boxes of its cell of a server now and then.
-func (w *simulation) reportStatePeriodically(e *engine) {
-	w.reportState(e)
-	w.AfterFunc(stateInterval, func() { w.reportStatePeriodically(e) })
+// reportStatePeriodically reports a server's state to the entry boxes of its cell every stateInterval.
+func (s *simulation) reportStatePeriodically(e *engine) {
+	s.reportState(e)
+	s.AfterFunc(stateInterval, func() { s.reportStatePeriodically(e) })
 }
 
-// reportState tells the entry boxes of its cell of a server.
-func (w *simulation) reportState(e *engine) {
+// reportState reports a server's state to the entry boxes of its cell, unless the server is down.
+func (s *simulation) reportState(e *engine) {
 	if !e.up {
 		return
 	}
@@ -155,131 +155,134 @@
 		Version: weightsVersion, Swapping: !e.accepting, Running: len(e.running), Waiting: len(e.queue), Slowdown: e.slowdown,
 	}
 	for _, b := range e.boxes {
-		w.AfterFunc(w.delay(e.region, b.region), func() {
+		s.AfterFunc(s.delay(e.region, b.region), func() {
 			if b.up {
-				b.dispatcher.UpdateServer(e.id, state, w.Now())
+				b.dispatcher.UpdateServer(e.id, state, s.Now())
 			}
 		})
 	}
 }
 
-// trafficLevel is the present traffic as a part of the kinds' rates.
-func (w *simulation) trafficLevel() float64 {
+// trafficLevel returns the current traffic as a multiple of each kind's PerSecond.
+func (s *simulation) trafficLevel() float64 {
 	level := 1.0
-	for _, step := range w.deployment.LoadSteps {
-		if step.At <= w.Elapsed() {
+	for _, step := range s.deployment.LoadSteps {
+		if step.At <= s.Elapsed() {
 			level = step.Level
 		}
 	}
-	return level * w.burstFactor
+	return level * s.burstFactor
 }
 
-// scheduleArrival plans the next first request of a kind from a region.
-func (w *simulation) scheduleArrival(region int, kind *RequestKind) {
-	rate := kind.PerSecond * w.deployment.Regions[region].Share
+// scheduleArrival schedules the next new caller of a kind in a region.
+func (s *simulation) scheduleArrival(region int, kind *RequestKind) {
+	rate := kind.PerSecond * s.deployment.Regions[region].Share
 	if rate <= 0 {
 		return
 	}
-	// Drawn at the highest rate and thinned out, so that a change of the traffic takes
-	// effect at once.
-	const highest = 4.0
-	wait := w.random.ExpFloat64() / (rate * highest)
-	w.AfterFunc(time.Duration(wait*float64(time.Second)), func() {
-		if w.Elapsed() >= w.deployment.Duration {
+	// Arrivals are generated at the rate of maxLevel and thinned to the current level, so that a change of the traffic
+	// takes effect immediately.
+	const maxLevel = 4.0
+	wait := s.random.ExpFloat64() / (rate * maxLevel)
+	s.AfterFunc(time.Duration(wait*float64(time.Second)), func() {
+		if s.Elapsed() >= s.deployment.Duration {
 			return
 		}
-		if w.random.Float64() < w.trafficLevel()/highest {
-			newCaller(w, region, kind).send()
+		if s.random.Float64() < s.trafficLevel()/maxLevel {
+			newCaller(s, region, kind).send()
 		}
-		w.scheduleArrival(region, kind)
+		s.scheduleArrival(region, kind)
 	})
 }
 
-// randomSize returns a size with a mean and a spread of its logarithm.
-func (w *simulation) randomSize(mean, spread float64) int {
+// randomSize returns a random size, at least 1. It is log-normally distributed with the given mean; spread is the
+// standard deviation of its natural logarithm, and 0 returns the mean.
+func (s *simulation) randomSize(mean, spread float64) int {
 	if spread <= 0 {
 		return max(1, int(mean))
 	}
-	return max(1, int(mean*math.Exp(spread*w.random.NormFloat64()-spread*spread/2)))
+	return max(1, int(mean*math.Exp(spread*s.random.NormFloat64()-spread*spread/2)))
 }
 
-// scheduleFault lets a fault happen.
-func (w *simulation) scheduleFault(f *Fault) {
+// scheduleFault schedules the start and the end of a fault.
+func (s *simulation) scheduleFault(f *Fault) {
 	switch f.Kind {
 	case FaultSwap:
-		w.scheduleEach(f, w.randomSubset(len(w.servers), f.Share), func(i int) { w.swap(w.servers[i], f.Duration) })
+		s.scheduleEach(f, s.randomSubset(len(s.servers), f.Share), func(i int) { s.swap(s.servers[i], f.Duration) })
 	case FaultServersDown:
-		w.scheduleEach(f, w.randomSubset(len(w.servers), f.Share), func(i int) { w.crash(w.servers[i], f.Duration) })
+		s.scheduleEach(f, s.randomSubset(len(s.servers), f.Share), func(i int) { s.crash(s.servers[i], f.Duration) })
 	case FaultServersSlow:
-		w.scheduleEach(f, w.randomSubset(len(w.servers), f.Share), func(i int) {
-			w.servers[i].slowdown = f.Factor
-			w.AfterFunc(f.Duration, func() { w.servers[i].slowdown = 1 })
+		s.scheduleEach(f, s.randomSubset(len(s.servers), f.Share), func(i int) {
+			s.servers[i].slowdown = f.Factor
+			s.AfterFunc(f.Duration, func() { s.servers[i].slowdown = 1 })
 		})
 	case FaultServersRejecting:
-		w.scheduleEach(f, w.randomSubset(len(w.servers), f.Share), func(i int) {
-			w.servers[i].rejecting, w.servers[i].retryAfter = true, f.RetryAfter
-			w.AfterFunc(f.Duration, func() { w.servers[i].rejecting = false })
+		s.scheduleEach(f, s.randomSubset(len(s.servers), f.Share), func(i int) {
+			s.servers[i].rejecting, s.servers[i].retryAfter = true, f.RetryAfter
+			s.AfterFunc(f.Duration, func() { s.servers[i].rejecting = false })
 		})
 	case FaultServersLimited:
-		w.scheduleEach(f, w.randomSubset(len(w.servers), f.Share), func(i int) {
-			w.servers[i].setLimit(f.Limit)
-			w.AfterFunc(f.Duration, func() { w.servers[i].clearLimit(w.result) })
+		s.scheduleEach(f, s.randomSubset(len(s.servers), f.Share), func(i int) {
+			s.servers[i].setLimit(f.Limit)
+			s.AfterFunc(f.Duration, func() { s.servers[i].clearLimit(s.result) })
 		})
 	case FaultBoxesDown:
-		w.scheduleEach(f, w.randomSubset(len(w.boxes), f.Share), func(i int) {
-			w.boxes[i].kill()
-			w.AfterFunc(f.Duration, w.boxes[i].start)
+		s.scheduleEach(f, s.randomSubset(len(s.boxes), f.Share), func(i int) {
+			s.boxes[i].kill()
+			s.AfterFunc(f.Duration, s.boxes[i].start)
 		})
 	case FaultBoxesPartitioned:
-		w.scheduleEach(f, w.randomSubset(len(w.boxes), f.Share), func(i int) {
-			w.boxes[i].partitioned, w.boxes[i].hadFault = true, true
-			w.AfterFunc(f.Duration, func() { w.boxes[i].partitioned = false })
+		s.scheduleEach(f, s.randomSubset(len(s.boxes), f.Share), func(i int) {
+			s.boxes[i].partitioned, s.boxes[i].hadFault = true, true
+			s.AfterFunc(f.Duration, func() { s.boxes[i].partitioned = false })
 		})
 	case FaultBurst:
-		w.AfterFunc(f.At, func() { w.burstFactor *= f.Factor })
-		w.AfterFunc(f.At+f.Duration, func() { w.burstFactor /= f.Factor })
+		s.AfterFunc(f.At, func() { s.burstFactor *= f.Factor })
+		s.AfterFunc(f.At+f.Duration, func() { s.burstFactor /= f.Factor })
 	}
 }
 
-// randomSubset draws a part of n things.
-func (w *simulation) randomSubset(n int, share float64) []int {
-	return w.random.Perm(n)[:min(n, int(math.Ceil(share*float64(n))))]
+// randomSubset returns the given share of the indexes from 0 to n-1 in random order, rounded up.
+func (s *simulation) randomSubset(n int, share float64) []int {
+	return s.random.Perm(n)[:min(n, int(math.Ceil(share*float64(n))))]
 }
 
-func (w *simulation) scheduleEach(f *Fault, struck []int, strike func(i int)) {
-	for place, i := range struck {
-		w.AfterFunc(f.At+f.Spread*time.Duration(place)/time.Duration(len(struck)), func() { strike(i) })
+// scheduleEach schedules apply for each affected index, spread evenly over f.Spread.
+func (s *simulation) scheduleEach(f *Fault, affected []int, apply func(i int)) {
+	for position, i := range affected {
+		s.AfterFunc(f.At+f.Spread*time.Duration(position)/time.Duration(len(affected)), func() { apply(i) })
 	}
 }
 
-// swapNotice is how long before it takes nothing any more the entry boxes are told that
-// a server is swapped.
+// swapNotice is the time between the report that a server stops accepting requests for a weight swap and the end of the
+// requests that still run on it.
 const swapNotice = 400 * time.Millisecond
 
-// swap takes a server out for new weights: what runs is cut, as it can go on elsewhere.
-func (w *simulation) swap(e *engine, down time.Duration) {
+// swap takes a server out of service for a weight swap. Requests that run after swapNotice are truncated, as they can
+// continue on another server.
+func (s *simulation) swap(e *engine, down time.Duration) {
 	e.accepting = false
-	w.reportState(e)
-	w.AfterFunc(swapNotice, e.stop)
-	w.AfterFunc(swapNotice+down, func() {
+	s.reportState(e)
+	s.AfterFunc(swapNotice, e.stop)
+	s.AfterFunc(swapNotice+down, func() {
 		e.accepting = true
-		w.reportState(e)
+		s.reportState(e)
 	})
 }
 
-// crash ends a server. Its agent stays and tells that it holds nothing.
-func (w *simulation) crash(e *engine, down time.Duration) {
+// crash stops a server until it restarts after down. Its agent keeps running and reports that no weights are loaded.
+func (s *simulation) crash(e *engine, down time.Duration) {
 	e.up = false
 	e.stop()
 	for _, b := range e.boxes {
-		w.AfterFunc(w.delay(e.region, b.region), func() {
+		s.AfterFunc(s.delay(e.region, b.region), func() {
 			if b.up {
-				b.dispatcher.UpdateServer(e.id, route.ServerState{}, w.Now())
+				b.dispatcher.UpdateServer(e.id, route.ServerState{}, s.Now())
 			}
 		})
 	}
-	w.AfterFunc(down, func() {
+	s.AfterFunc(down, func() {
 		e.up = true
-		w.reportState(e)
+		s.reportState(e)
 	})
 }
