--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -1,16 +1,13 @@
-// Package rig measures the distribution of weights: the decisions of
-// pkg/weights and pkg/member as they are, over links in memory on a clock of its
-// own. A run is repeatable: the same options give the same result.
+// Package rig simulates the distribution of weights to boxes in virtual time. It runs the production code of
+// pkg/weights and pkg/member over simulated links. The same options give the same result.
 //
 // # Link model
 //
-// Each box has one link up and one link down of the same rate (full duplex), the
-// source has one link up. A transfer waits its turn on the sender's link, then
-// on the receiver's; it passes through while it comes. The source's rate is twice
-// a box's, because in the time allowed its link carries four copies and a box's
-// two. Control messages take one latency and no bandwidth. The lower bound is the
-// largest of: a copy over the source's link, a copy over a box's link, and all
-// copies over all links up.
+// Each box has an uplink and a downlink of the same rate (full duplex); the origin has an uplink. A transfer is queued
+// on the sender's uplink, then on the receiver's downlink, which receives it while it is sent (cut-through). The
+// origin's rate is twice a box's, because in the time allowed its link carries four copies and a box's link two.
+// Control messages take one latency and no bandwidth. The lower bound of the distribution time is the largest of three
+// times: one copy over the origin's link, one copy over a box's link, and all copies over all uplinks together.
 //
 // # Usage
 //
@@ -28,88 +25,100 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
-// The link model.
+// Parameters of the model.
 const (
-	// copyTime is how long one copy takes over a box's link.
+	// copyTime is the transfer time of one copy over a box's link.
 	copyTime = 90 * time.Second
-	// originRateFactor is how much faster the source's link is.
+	// originRateFactor is the rate of the origin's link relative to a box's.
 	originRateFactor = 2
 	// domainsPerRegion is the number of failure domains of a region.
 	domainsPerRegion = 2
 
-	latency        = 3 * time.Millisecond
-	pollInterval   = 200 * time.Millisecond
-	stallTimeout   = 2 * time.Second
+	// latency is the one-way delay of a message.
+	latency = 3 * time.Millisecond
+	// pollInterval is the interval at which a box polls the holdings of its neighbours.
+	pollInterval = 200 * time.Millisecond
+	// stallTimeout is the time after which a transfer from a stalled box fails.
+	stallTimeout = 2 * time.Second
+	// connectTimeout is the time after which a connection to a crashed box fails.
 	connectTimeout = time.Second
-	// silenceTimeout is how long a dead box is still thought to be up.
+	// silenceTimeout is the interval at which crashed boxes are detected, so a crashed box counts as up for at most
+	// this long.
 	silenceTimeout = 4500 * time.Millisecond
 )
 
-// Options says what is run.
+// Options are the options of Run.
 type Options struct {
 	Boxes   int
 	Regions int
 	Chunks  int
-	// CrashShare and Stalling are the parts of the boxes that die at a random time
-	// within a copy time, and whose link up stands still from a random time.
+	// CrashShare is the fraction of the boxes that crash, StallShare the fraction whose uplinks stall, each at a random
+	// time within the first copyTime.
 	CrashShare float64
 	StallShare float64
 	Seed       uint64
 	Picker     weights.PickerOptions
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
-	// Time is when the last box that lives had the whole.
-	Time  time.Duration
+	// Time is when the last box that did not crash completed its copy.
+	Time time.Duration
+	// Bound is the lower bound of Time.
 	Bound time.Duration
-	// OriginCopies is what the source sent, RegionCopies the most that any region
-	// got over long links, both in copies.
+	// OriginCopies is the number of copies that the origin sent.
 	OriginCopies float64
+	// RegionCopies is the largest number of copies that one region received from boxes in other regions.
 	RegionCopies float64
-	// Decisions counts the fetches that were started.
+	// Decisions is the number of fetches that were started.
 	Decisions int
-	// Complete is false if some box never got the whole.
+	// Complete is set if every box that did not crash has a complete copy.
 	Complete bool
 }
 
+// link is one direction of a box's or the origin's network link.
 type link struct {
-	freeAt    time.Duration
-	chunkTime time.Duration
+	// freeAt is when the last queued transfer ends, as a virtual time since virtual.Epoch.
+	freeAt       time.Duration
+	timePerChunk time.Duration
 }
 
 type box struct {
-	record      member.Record
-	picker      *weights.Picker
-	held        weights.Bits
-	up, down    link
-	crashed     bool
-	stalled     bool
+	record   member.Record
+	picker   *weights.Picker
+	held     weights.Bits
+	up, down link
+	crashed  bool
+	stalled  bool
+	// completedAt is when the copy was completed; 0 before.
 	completedAt time.Duration
 }
 
 type run struct {
 	virtual.Timeline
-	options      Options
-	random       *rand.Rand
-	manifest     *weights.Manifest
-	boxes        []*box
-	byName       map[string]*box
-	origin       link
-	incomplete   int
-	result       Result
+	options  Options
+	random   *rand.Rand
+	manifest *weights.Manifest
+	boxes    []*box
+	byName   map[string]*box
+	origin   link
+	// incomplete is the number of boxes that have neither completed their copies nor crashed.
+	incomplete int
+	result     Result
+	// originChunks counts the chunks received from the origin, remoteChunks those that each region received from boxes in
+	// other regions.
 	originChunks int
 	remoteChunks map[member.Region]int
 }
 
-// Run distributes one version to boxes that have nothing.
+// Run simulates the distribution of one version to boxes that hold no chunks of it.
 func Run(options Options) Result {
 	r := &run{
 		options: options, random: rand.New(rand.NewPCG(options.Seed, 1)), manifest: newManifest(options.Chunks),
 		byName: make(map[string]*box), remoteChunks: make(map[member.Region]int),
 	}
 	chunkTime := copyTime / time.Duration(options.Chunks)
-	r.origin = link{chunkTime: chunkTime / originRateFactor}
+	r.origin = link{timePerChunk: chunkTime / originRateFactor}
 	for i := range options.Boxes {
 		r.addBox(i, chunkTime)
 	}
@@ -125,7 +134,7 @@
 	return r.finish()
 }
 
-// newManifest describes weights whose chunks differ; their bytes never exist.
+// newManifest returns a manifest with distinct chunk digests. The content is not created.
 func newManifest(chunks int) *weights.Manifest {
 	manifest := &weights.Manifest{Model: "m", Version: "v", Files: []weights.File{{Path: "w", Size: int64(chunks)}}}
 	for i := range chunks {
@@ -144,13 +153,14 @@
 		},
 		picker: weights.NewPicker(r.manifest, name, nil, r.options.Picker, virtual.Epoch),
 		held:   weights.NewBits(r.options.Chunks),
-		up:     link{chunkTime: chunkTime}, down: link{chunkTime: chunkTime},
+		up:     link{timePerChunk: chunkTime}, down: link{timePerChunk: chunkTime},
 	}
 	r.boxes = append(r.boxes, b)
 	r.byName[name] = b
 }
 
-// updatePeers tells every box that is up its neighbours and the drawers, as monitors do.
+// updatePeers sets the neighbours and the origin fetchers of every incomplete box that is up, as the monitor does in
+// production.
 func (r *run) updatePeers() {
 	var records []member.Record
 	for _, b := range r.boxes {
@@ -175,8 +185,8 @@
 	return peers
 }
 
-// scheduleFaults lets boxes die and links stand still at random times. Deaths are
-// noticed in groups, a few seconds apart, to bound the work of the rig.
+// scheduleFaults schedules crashes and stalls at random times. Crashes are detected in groups, every silenceTimeout, to
+// limit the cost of the simulation.
 func (r *run) scheduleFaults() {
 	for _, b := range r.boxes[1:] {
 		at := time.Duration(r.random.Float64() * float64(copyTime))
@@ -199,15 +209,15 @@
 	}
 }
 
-// poll asks the neighbours what they hold, as the agent does.
+// poll polls the holdings of the neighbours, as the agent does in production, and starts fetches.
 func (r *run) poll(b *box) {
 	if b.crashed || b.completedAt > 0 {
 		return
 	}
 	for _, name := range b.picker.BoxesToPoll() {
-		n := r.byName[name]
-		held := n.held
-		if n.crashed {
+		neighbour := r.byName[name]
+		held := neighbour.held
+		if neighbour.crashed {
 			held = nil
 		}
 		b.picker.SetHoldings(name, append(weights.Bits(nil), held...))
@@ -245,16 +255,16 @@
 	}
 }
 
-// send takes a transfer's turn on the sender's link and returns when it has gone.
+// send queues a transfer on the sender's uplink and returns the time until it is sent.
 func (r *run) send(up *link) time.Duration {
-	up.freeAt = max(r.Elapsed()+latency, up.freeAt) + up.chunkTime
+	up.freeAt = max(r.Elapsed()+latency, up.freeAt) + up.timePerChunk
 	return up.freeAt - r.Elapsed()
 }
 
-// receive takes its turn on the receiver's link. A transfer that found the link
-// free has passed through while it was sent.
+// receive queues a transfer on the receiver's downlink and returns the time until it is received. If the link was free,
+// the transfer was received while it was sent.
 func (r *run) receive(down *link) time.Duration {
-	down.freeAt = max(r.Elapsed(), down.freeAt+down.chunkTime)
+	down.freeAt = max(r.Elapsed(), down.freeAt+down.timePerChunk)
 	return down.freeAt + latency - r.Elapsed()
 }
 
@@ -298,19 +308,19 @@
 	}
 	r.result.Bound = Bound(r.options.Boxes)
 	r.result.OriginCopies = float64(r.originChunks) / float64(r.options.Chunks)
-	for _, far := range r.remoteChunks {
-		r.result.RegionCopies = max(r.result.RegionCopies, float64(far)/float64(r.options.Chunks))
+	for _, chunks := range r.remoteChunks {
+		r.result.RegionCopies = max(r.result.RegionCopies, float64(chunks)/float64(r.options.Chunks))
 	}
 	return r.result
 }
 
-// Bound is the least time in which boxes can get the whole under the link model.
+// Bound returns the lower bound of the time to distribute a copy to each box under the link model.
 func Bound(boxes int) time.Duration {
 	all := float64(boxes) * float64(copyTime) / (float64(boxes) + originRateFactor)
 	return max(copyTime, copyTime/originRateFactor, time.Duration(all))
 }
 
-// AllFromOrigin is the baseline in which every box draws the whole itself.
+// AllFromOrigin returns the result of the baseline in which every box downloads its copy from the origin.
 func AllFromOrigin(boxes int) Result {
 	return Result{
 		Time: max(copyTime, copyTime/originRateFactor*time.Duration(boxes)), Bound: Bound(boxes),
@@ -318,8 +328,8 @@
 	}
 }
 
-// TreeOfCopies is the baseline in which each box, once it has the whole, sends it
-// to two others, both at once over its one link.
+// TreeOfCopies returns the result of the baseline in which each box that has a complete copy sends it to two others
+// concurrently over its one uplink.
 func TreeOfCopies(boxes int) Result {
 	done := make([]time.Duration, boxes)
 	last := time.Duration(0)
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -9,6 +9,7 @@
 	"github.com/cinderslip/cinderslip/pkg/weights"
 )
 
+// soonestOptions returns options with half the default RankDelay.
 func soonestOptions() weights.PickerOptions {
 	options := weights.DefaultPickerOptions()
 	options.RankDelay /= 2
@@ -50,14 +51,14 @@
 func reportMetrics(b *testing.B, result Result) {
 	b.Helper()
 	if !result.Complete {
-		b.Fatal("a box never got the whole")
+		b.Fatal("a box did not complete its copy")
 	}
 	b.ReportMetric(float64(result.Time)/float64(result.Bound), "time/bound")
 	b.ReportMetric(result.OriginCopies, "source-copies")
 	b.ReportMetric(result.RegionCopies, "region-copies")
 }
 
-// The table of docs/operators/distribution.md.
+// BenchmarkRollout measures the figures in the table of docs/operators/distribution.md.
 func BenchmarkRollout(b *testing.B) {
 	settings := map[string]weights.PickerOptions{"fewest-bytes": weights.DefaultPickerOptions(), "soonest-live": soonestOptions()}
 	for _, boxes := range []int{12, 50, 200, 500, 1_400} {
