--- a/internal/provider/fleet.go
+++ b/internal/provider/fleet.go
@@ -182,9 +182,9 @@
 
 // DirectoryQuery is a caller's query for the addresses of entry boxes. Host, Region and Domain locate the caller.
 type DirectoryQuery struct {
-	Host   string
-	Region member.Region
-	Domain member.FailureDomain
+	Host          string
+	Region        member.Region
+	FailureDomain member.FailureDomain
 }
 
 // DirectPlatform is the set of platform services for processes in direct mode.
