--- a/cmd/cinderslip/run.go
+++ b/cmd/cinderslip/run.go
@@ -18,7 +18,7 @@
 // The exit codes.
 const (
 	exitDone = 0
-	// exitFailed is any failure without a code of its own.
+	// exitFailed is a failure that has no exit code of its own.
 	exitFailed = 1
 	// exitUsage is an invalid command line, or a token or table file that cannot be read.
 	exitUsage = 2
--- a/cmd/cinderslipd/main_test.go
+++ b/cmd/cinderslipd/main_test.go
@@ -22,9 +22,9 @@
 	os.Exit(m.Run())
 }
 
-// Guards against a hangup signal that ends a process during start-up. The process used to register for the signal only
-// after reading its settings, so an entry box that was signalled right after a restart ended without a log line. This
-// occurred in a soak test with 24 entry boxes and 40 agents.
+// Guards against a hangup signal that ends a process during start-up. If the process registers for the signal only
+// after reading its settings, an entry box that is signalled right after a restart ends without a log line, as seen in
+// a soak test with 24 entry boxes and 40 agents.
 func TestHangupWhileReadingSettingsDoesNotEndProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	require.NoError(t, syscall.Mkfifo(path, 0o600))
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,10 +1,11 @@
 // Package boottime provides a clock that includes the time during which the machine was suspended.
 //
-// Package time measures durations with the monotonic clock, which stops while the machine is suspended. Every age that
-// includes a suspension would be too short by its length: the time since a version was published, since a peer's last
-// heartbeat, or since a server requested a backoff. The clock of this package keeps running (CLOCK_BOOTTIME on Linux).
+// The standard library's package time measures durations with the monotonic clock, which stops while the machine is
+// suspended. After a suspension, ages measured with it are too short by the length of the suspension: the time since a
+// version was published, since a peer's last heartbeat, or since a server requested a backoff. The clock of this
+// package keeps running (CLOCK_BOOTTIME on Linux).
 //
-// Timers stop during a suspension and fire late by its length.
+// Its timers stop during a suspension and fire late by its length.
 //
 // # Usage
 //
--- a/internal/daemon/forward.go
+++ b/internal/daemon/forward.go
@@ -324,9 +324,9 @@
 	return err
 }
 
-// settle determines the outcome of an attempt that failed without a response. It asks the agent
-// whether the attempt has started, unless the caller is gone or no connection was opened. An agent
-// that has not started the attempt will then never start it.
+// settle determines the outcome of an attempt that failed without a response. It sends a Settle call
+// to the agent, unless the caller is gone or no connection was opened. The response states whether
+// the attempt has started; if it has not, the agent never starts it.
 func (f *forwarder) settle(ctx context.Context, x *exchange, target *route.Target, attempt route.AttemptID, cause error) (outcome, error) {
 	if x.request.Context().Err() != nil {
 		return outcomeCallerGone, cause
--- a/internal/daemon/steps.go
+++ b/internal/daemon/steps.go
@@ -68,7 +68,7 @@
 		return fmt.Errorf("listening for operators: %w", err)
 	}
 	if p.settings.Role == settings.RoleEntry {
-		// The socket refuses callers until the process is ready.
+		// The socket is bound but does not listen, so connections are refused until the process is ready.
 		if p.callerSocket, err = bindSocket(p.settings.Listen.Callers); err != nil {
 			return fmt.Errorf("reserving caller address: %w", err)
 		}
--- a/internal/direct/callerserver.go
+++ b/internal/direct/callerserver.go
@@ -215,16 +215,16 @@
 	return all
 }
 
-// MergePeerReport merges the load and the demands that another entry box reports. If complete is set, the report
-// lists all of its servers and services; otherwise it lists only those that have changed.
-func (s *CallerServer) MergePeerReport(box member.BoxID, load route.Load, demands route.Demands, complete bool, now time.Time) {
+// MergePeerReport merges the load and the demands that another entry box reports. If full is set, the report lists all
+// of its servers and services; otherwise it lists only those that have changed.
+func (s *CallerServer) MergePeerReport(box member.BoxID, load route.Load, demands route.Demands, full bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.peerReports.merge(box, load, demands, complete)
+	known := s.peerReports.merge(box, load, demands, full)
 	for service, d := range s.dispatchers {
 		// An unchanged demand is not reported again and stays valid while the box sends reports.
 		d.UpdatePeerDemand(box, known.demands[service], now)
-		d.UpdatePeerLoad(box, load, complete, now)
+		d.UpdatePeerLoad(box, load, full, now)
 	}
 }
 
--- a/internal/direct/concurrency_test.go
+++ b/internal/direct/concurrency_test.go
@@ -36,9 +36,8 @@
 
 const interleavings = 3000
 
-// Guards against an older record replacing a newer one. A box received from a second box that a third was up, and
-// at the same moment from the third itself that it was starting. The older record was kept, and callers were never
-// directed to the third box.
+// Guards against an older record of a box replacing its newer one when both arrive at once: that the box is starting,
+// from one box, and that it is up, from another. If the older record is kept, callers are never directed to the box.
 func TestNewerOfConcurrentRecordsWins(t *testing.T) {
 	older := recordItems(t, member.Record{Box: "b", Incarnation: 1, Sequence: 1, Status: member.StatusStarting})
 	newer := recordItems(t, member.Record{Box: "b", Incarnation: 1, Sequence: 2, Status: member.StatusUp})
@@ -51,7 +50,8 @@
 	}
 }
 
-// Guards against the same race between entries of the store, which kept a server that had left in the view.
+// Guards against an older entry of a server replacing its newer deletion when both arrive at once. The server then
+// stays in the view after it has left.
 func TestNewerOfConcurrentEntriesWins(t *testing.T) {
 	deletion := fleet.Fact{Key: fleet.ServerKey("a"), Revision: 7, Deleted: true}
 	for range interleavings {
@@ -64,7 +64,8 @@
 	}
 }
 
-// Guards against the opposite race, which kept a returned server out of the view until it wrote its entry again.
+// Guards against an older deletion of a server replacing its newer entry when both arrive at once. A server that
+// returns is then missing from the view until it writes its entry again.
 func TestServerReturningDuringDeletionIsKept(t *testing.T) {
 	for range interleavings / 6 {
 		fleetState := NewFleetState(clockwork.NewFakeClock(), zerolog.Nop(), NewMetrics())
@@ -185,7 +186,7 @@
 }
 
 // Guards against an older configuration replacing a newer one when both arrive at once. After an outage of the
-// store, two boxes refused keys that it had confirmed seconds before.
+// store, a box then refuses keys that the store confirmed seconds earlier.
 func TestNewestKeysApplyAfterStoreOutage(t *testing.T) {
 	for try := range interleavingTries {
 		fleetState := newStateWithThreeServers()
@@ -200,7 +201,8 @@
 	}
 }
 
-// Guards against the same race between entries of servers that expired and returned.
+// Guards against a server missing from the view after an outage of the store. Its entry expires during the outage and
+// is written again afterwards, and the store and two boxes report both changes at once.
 func TestServersReturnAfterStoreOutage(t *testing.T) {
 	for try := range interleavingTries {
 		fleetState := newStateWithThreeServers()
--- a/internal/direct/cutoff_test.go
+++ b/internal/direct/cutoff_test.go
@@ -179,11 +179,10 @@
 	return done
 }
 
-// An aborted request must not start on outdated weights after the version bound. Half a second before the
-// bound, a box aborted a request to a server that had not swapped yet. It closed the connection in order while
-// the bytes of the request were still in transit; they arrived 0.5 s later, followed by the close, and the
-// server started the request 0.1 s after the bound. An orderly close guarantees the delivery of all bytes that
-// were written; a reset does not.
+// Guards against an aborted request that starts on outdated weights after the version bound. An orderly close
+// delivers all bytes that were written before it; a reset does not. If a box aborts a request half a second before
+// the bound with an orderly close while its bytes are in transit, they arrive 0.5 s later, and a server that has not
+// swapped yet starts the request 0.1 s after the bound.
 func TestAbortedRequestResetsConnection(t *testing.T) {
 	link := newSlowLink(t)
 	c := newCutoffTest(t, link.address)
--- a/internal/direct/departures.go
+++ b/internal/direct/departures.go
@@ -153,10 +153,10 @@
 }
 
 // MergeAgentReport merges the report of an agent on the server at its address: the incarnation of the server and
-// whether that incarnation is leaving. An incarnation later than the entry's ends the departure of the one before
-// at once, because the entry may not follow while the store is down. Reports without an incarnation are ignored:
-// the departure could belong to the server that had the address before, and the next server would stay leaving
-// forever.
+// whether that incarnation is leaving. If the reported incarnation is later than the entry's, the departure of the
+// earlier one ends at once, because the entry is not updated while the store is down. Reports without an incarnation
+// are ignored: the departure could belong to the server that had the address before, and the next server would stay
+// leaving forever.
 func (f *FleetState) MergeAgentReport(address member.Address, incarnation member.Incarnation, leaving bool, from string) {
 	if incarnation == 0 {
 		return
--- a/internal/direct/entryboxes.go
+++ b/internal/direct/entryboxes.go
@@ -283,8 +283,8 @@
 	return request
 }
 
-// markSilent marks an unreachable box silent, unless this box is probably the disconnected one: it then receives
-// from less than half of the boxes that it follows.
+// markSilent marks an unreachable box silent. It does not if this box receives from less than half of the boxes that it
+// follows, because this box is then probably the disconnected one.
 func (e *EntryBoxes) markSilent(entry string) {
 	for _, record := range e.membership.All() {
 		if string(record.Peers) == entry && e.receivesFromMajority() {
--- a/internal/direct/exchange.go
+++ b/internal/direct/exchange.go
@@ -210,13 +210,13 @@
 	x.deadline = x.arrived.Add(timeout)
 }
 
-// refuse responds that the request has not run and when to retry it.
+// refuse responds with status 503, which reports that the request has not run, and a Retry-After header.
 func (s *CallerServer) refuse(x *exchange, reason string, wait time.Duration) {
 	s.writeRefusal(x, wait)
 	s.finish(x, "refused").Str("reason", reason).Dur("retry_after_ms", wait).Msg("request refused")
 }
 
-// refuseBusy refuses a request that could not start in time and logs the reason.
+// refuseBusy refuses a request that could not start in time, as refuse does, and logs the reason.
 func (s *CallerServer) refuseBusy(x *exchange, busy *route.BusyError) {
 	s.writeRefusal(x, busy.RetryAfter)
 	reason := "busy"
@@ -232,7 +232,8 @@
 		Int("places_needed", int(busy.NewRequestSlots)).Int("beginning", busy.AwaitingFirstByte).Msg("request refused")
 }
 
-// refuseQuarantined refuses a request that makes the servers that run it exit.
+// refuseQuarantined refuses a request under which servers have exited, as refuse does. The Retry-After header is the
+// time until the quarantine ends.
 func (s *CallerServer) refuseQuarantined(x *exchange, quarantined *quarantinedError) {
 	wait := quarantined.until.Sub(s.clock.Now())
 	s.writeRefusal(x, wait)
@@ -247,7 +248,7 @@
 	x.writer.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// reject responds that the request is invalid.
+// reject responds with a status that callers do not retry: 400, 401, 404 or 413.
 func (s *CallerServer) reject(x *exchange, status int, reason string) {
 	x.writer.Header().Set("Content-Length", "0")
 	x.writer.WriteHeader(status)
@@ -255,7 +256,7 @@
 		Str("host", x.request.Host).Msg("request rejected")
 }
 
-// fail responds that the request failed and may have run.
+// fail responds with status 502 or 504, which reports that the request failed and may have run.
 func (s *CallerServer) fail(x *exchange, status int, cause error) {
 	s.noteRejected(x)
 	x.writer.Header().Set("Content-Length", "0")
--- a/internal/direct/fleetstate_test.go
+++ b/internal/direct/fleetstate_test.go
@@ -231,8 +231,8 @@
 }
 
 // Guards against recording the time at which a version was received from another process as its publication time.
-// An agent received a version from an entry box that had just started, and its wrong age replaced the assumed ages
-// of all boxes. Older weights started requests for 2.2 s too long.
+// If an agent receives a version from an entry box that has just started, the wrong age replaces the assumed ages of
+// all boxes, and older weights start requests for 2.2 s too long.
 func TestVersionFromAnotherProcessIsNotObserved(t *testing.T) {
 	fleetState, clock := newTestFleetState()
 	fleetState.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}}, "store")
@@ -246,9 +246,9 @@
 	require.Equal(t, clock.Now().Add(-300*time.Millisecond), fleetState.View().PublishedVersions("m").Newest().PublishedAt, "an observed age replaces an assumed one")
 }
 
-// Guards against treating the first read of the store as an observed publication. A box that had just started
-// received a configuration from another box before it read the store. It took a version in the store for one
-// published at that moment, and reported that age to all others.
+// Guards against treating the first read of the store as an observed publication. A box that has just started can
+// receive a configuration from another box before it reads the store. It must not report a version that it then finds
+// in the store as published at that moment.
 func TestVersionInInitialReadIsNotObserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleetState, clock := newTestFleetState()
@@ -265,7 +265,7 @@
 }
 
 // Guards against change detection by the number of versions. It stays the same after eight versions of a model, so
-// the ages of later ones were not reported.
+// the ages of later ones are not reported.
 func TestEachVersionIncrementsAgeChangeCount(t *testing.T) {
 	fleetState, _ := newTestFleetState()
 	fleetState.Apply([]fleet.Fact{{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}}, "store")
@@ -281,11 +281,10 @@
 	require.NotEqual(t, known, fleetState.ageChangeCount(), "a corrected age is counted")
 }
 
-// Guards against requests that start on old weights for longer than the bound after a newer version is published.
-// Two versions were published 4 s apart. A box that started later read only the newer one from the store, and
-// ignored reports of the older one, so it applied the cutoff of the weights before both 4 s late. From 7.0 to 11 s
-// after the first publication the two boxes of this test required versions 2 and 0, and only one of them used a
-// server that loaded its weights late.
+// Guards against requests that start on old weights after the version bound. Two versions are published 4 s apart,
+// and a box that starts later reads only the newer one from the store. If it ignores reports of the older one, it
+// applies the cutoff of all earlier weights 4 s late: with a bound of 8 s and a cutoffMargin of 1 s, from 7.0 to 11 s
+// after the first publication it requires version 0 where the other boxes require version 2.
 func TestLateBoxAppliesCutoffOfSkippedVersion(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	configuration := fleet.Fact{Key: fleet.ConfigurationKey(), Revision: 1, Configuration: &fleet.Configuration{}}
@@ -325,8 +324,8 @@
 	require.Equal(t, receivedAt.Add(-time.Second), fleetState.View().PublishedVersions("m").Newest().PublishedAt)
 }
 
-// Guards against two servers with one address. After a power failure, each address had two entries for seconds,
-// and half of the requests went to servers that no longer existed.
+// Guards against two servers with one address. After a power failure, each address has two entries for seconds, and
+// half of the requests are sent to servers that have been replaced.
 func TestNewestEntryWinsPerAddress(t *testing.T) {
 	fleetState, _ := newTestFleetState()
 	only := func() fleet.ServerID {
@@ -342,9 +341,9 @@
 	require.Empty(t, fleetState.View().Servers("llm"))
 }
 
-// Guards against waiting for the fact of a version whose age is known. Agents in a region whose reader of the
-// store was disconnected received a version 0.9 s late, although boxes of other regions reported its age every
-// 0.05 s.
+// Guards against waiting for the fact of a version whose age is known. If the reader of the store in a region is
+// disconnected, the region's agents receive the version 0.9 s late, although boxes of other regions report its age
+// every 0.05 s.
 func TestVersionAgeFromPeerPublishesVersion(t *testing.T) {
 	fleetState, clock := newTestFleetState()
 	fleetState.MergeVersionAges([]fleet.VersionAge{{Model: "m", Version: 2, Age: 300 * time.Millisecond}, {Model: "m", Version: 3, Age: 100 * time.Millisecond}}, "entry-2")
--- a/internal/direct/ratelimits.go
+++ b/internal/direct/ratelimits.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// limitTolerance is the relative change of a limit up to which the change is ignored, as each change rebuilds
-	// the view of all servers.
+	// limitTolerance is the largest relative change of a limit that is ignored. Every other change rebuilds the view
+	// of all servers.
 	limitTolerance = 0.02
 	// limitRaiseDelay is the minimum time between a change of a limit and raising or clearing it. It prevents
 	// constant rebuilds for servers that advertise a different limit in each response.
--- a/internal/direct/statusserver.go
+++ b/internal/direct/statusserver.go
@@ -44,8 +44,8 @@
 	// load returns the requests in flight at backend servers, demands the demand for each service.
 	load    func() route.Load
 	demands func() route.Demands
-	// rejectedCallers returns the rejected callers after a cursor to report in a relay dimension, and the next
-	// cursor.
+	// rejectedCallers returns the callers that were rejected after the cursor, limited to those that are reported in
+	// the given relay dimension, and the cursor for the next call.
 	rejectedCallers func(cursor uint64, to route.RelayDimension) (callers []route.RejectedCaller, next uint64)
 	// suspects are the requests under which servers have exited.
 	suspects *SuspectRequests
--- a/internal/direct/stream.go
+++ b/internal/direct/stream.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// noteForwarded records that events are forwarded.
+// noteForwarded records the time at which events are forwarded, and updates the longest gap between two events.
 func (x *exchange) noteForwarded(now time.Time) {
 	if !x.lastForwarded.IsZero() {
 		x.longestEventGap = max(x.longestEventGap, now.Sub(x.lastForwarded))
--- a/internal/lab/limit.go
+++ b/internal/lab/limit.go
@@ -23,8 +23,8 @@
 	since time.Time
 	// receivedAt is when each box first received a response with the limit.
 	receivedAt map[*box]time.Time
-	// arrivals are the times of all requests. counted are those of requests from boxes that had received the limit at
-	// least limitReactionTime before and were never killed or partitioned.
+	// arrivals holds the arrival times of all requests. counted holds only those of requests from boxes that received
+	// the limit at least limitReactionTime earlier and were never killed or partitioned.
 	arrivals, counted []time.Time
 }
 
--- a/internal/lab/overload_test.go
+++ b/internal/lab/overload_test.go
@@ -37,8 +37,8 @@
 	return deployment, fault
 }
 
-// Guards against an overload that persists after its cause: for seconds after a short outage, the slots were used by
-// requests that were already late, so new requests became late too.
+// Guards against an overload that persists after its cause: for seconds after a short outage, the slots are used by
+// requests that are already late, so new requests become late too.
 func TestOverloadEndsWithItsCause(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		deployment, fault := drawOverload(t)
--- a/internal/lab/simulation.go
+++ b/internal/lab/simulation.go
@@ -23,7 +23,7 @@
 	weightsVersion fleet.WeightsVersion = 1
 )
 
-// simulation is one simulation of a deployment.
+// simulation is the state of one simulated run of a deployment.
 type simulation struct {
 	virtual.Timeline
 	deployment *Deployment
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -2,7 +2,8 @@
 // loopback addresses. Stand-ins for the platform's services run in the test process.
 //
 // A scenario is a script in testdata. It uses the commands of package testscript and those in the map commands, each of
-// which is documented at its function. Timeouts only ensure that a scenario ends and are no performance requirements.
+// which is documented at its function. Timeouts only ensure that a scenario ends; they are not performance
+// requirements.
 package scenario
 
 import (
@@ -45,8 +46,8 @@
 	return m.Run()
 }
 
-// Testscript never runs a custom command that has the name of a built-in command. A custom "stop" command once ended a
-// script early as passed, so that the rest of the scenario was not checked.
+// Testscript never runs a custom command that has the name of a built-in command. A custom "stop" command would
+// end a script early as passed, so that the rest of the scenario is not checked.
 func TestCommandsDoNotShadowBuiltins(t *testing.T) {
 	builtIn := strings.Fields("cat cd chmod cmp cmpenv cp env exec exists grep kill mkdir mv rm skip " +
 		"stderr stdin stdout stop symlink ttyin ttyout unix2dos unquote wait")
--- a/internal/settings/template_test.go
+++ b/internal/settings/template_test.go
@@ -103,8 +103,8 @@
 	agentListen = `"Listen": {}, "app": "10.1.0.40:8100", "Service": "kakiwake"`
 )
 
-// Guards against a template that renders fractional limits or bounds to values that the settings reject: a deployment
-// with fractional bounds could not start. A retry budget of zero must not be replaced by the default.
+// Guards against a template that renders fractional limits or bounds to values that the settings reject, so that a
+// deployment with fractional bounds cannot start. A retry budget of zero must not be replaced by the default.
 func TestTemplateRendersValidSettings(t *testing.T) {
 	template, err := os.ReadFile("../../deploy/settings.toml.tmpl")
 	require.NoError(t, err)
--- a/internal/soak/deployment_test.go
+++ b/internal/soak/deployment_test.go
@@ -42,9 +42,11 @@
 	// restartRand chooses the servers to restart. It is separate from random so that the seeds in
 	// testdata/regressions.txt still choose all other faults as they did when they failed.
 	restartRand *rand.Rand
-	// signalRand chooses the leaving and backoff signals of servers. It is separate from random for the same reason.
+	// signalRand chooses the leaving and backoff signals of servers. It is separate so that the signals do not change
+	// which other faults a seed chooses.
 	signalRand *rand.Rand
-	// limitRand chooses the rate limits of servers. It is separate from random for the same reason.
+	// limitRand chooses the rate limits of servers. It is separate so that the limits do not change which other
+	// faults a seed chooses.
 	limitRand *rand.Rand
 	index     int
 
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -12,7 +12,7 @@
 //	view := fleet.EmptyView().WithConfiguration(configuration, revision).WithServers(servers)
 //	route, ok := view.Route("maps.example", "/tiles/7/3")
 //	organisation, ok := view.Organisation(key)
-//	servers := view.Servers(route.Service)
+//	servers := view.Servers(route.Backends[0].Service)
 package fleet
 
 import (
@@ -347,8 +347,8 @@
 
 // WasRunning reports whether an incarnation of a server started at least startUncertainty before a response of the
 // server was received. Responses carry no incarnation, and entries do not show new incarnations while the store is
-// unavailable. A response may therefore come from a later incarnation than the one known at the time. WasRunning returns
-// false if received is the zero time.
+// unavailable. A response may therefore come from a later incarnation than the one known at the time. WasRunning
+// returns false if received is the zero time.
 func WasRunning(start member.Incarnation, received time.Time) bool {
 	return !received.IsZero() && start <= member.Incarnation(max(0, received.Add(-startUncertainty).UnixMilli()))
 }
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -9,8 +9,8 @@
 	"github.com/cinderslip/cinderslip/pkg/member"
 )
 
-// Every agent used to receive a complete configuration of 1,400 routes on each change. ServicesOnly must reduce it to a
-// size that does not depend on the number of routes.
+// Guards against sending a complete configuration, with 1,400 routes in this test, to every agent on each change.
+// ServicesOnly must reduce it to a size that does not depend on the number of routes.
 func TestServicesOnlySizeIsIndependentOfRouteCount(t *testing.T) {
 	configuration := &Configuration{Version: 9, Services: []Service{{Name: "llm", Engine: &Engine{Layers: 4}}, {Name: "maps"}}}
 	route := func(service member.Service, kind RouteKind, resumable bool) {
@@ -39,8 +39,8 @@
 	require.False(t, EmptyView().WithConfiguration(configuration.ServicesOnly(), 8).Resumable("llm"), "a service with one route that is not resumable is not resumable")
 }
 
-// A caller without an API key presents the empty key. It used to be identified as an organisation whose list of keys
-// contains an empty one.
+// Guards against callers without an API key, who present the empty key, being identified as an organisation whose list
+// of keys contains an empty one.
 func TestEmptyKeyMatchesNoOrganisation(t *testing.T) {
 	view := EmptyView().WithConfiguration(&Configuration{Organisations: []Organisation{{Name: "kumiai", Keys: []APIKey{"", "k"}}}}, 3)
 	_, known := view.Organisation("")
--- a/pkg/route/allocation_test.go
+++ b/pkg/route/allocation_test.go
@@ -55,8 +55,8 @@
 	return taken, all
 }
 
-// 39 boxes with the same view of the free slots all took them, and each server got several requests
-// more than it had slots.
+// Guards against boxes with the same view of the free slots that all take them: with 39 boxes, each
+// server gets several requests more than it has slots.
 func TestCompetingBoxesDoNotOversubscribeFreeSlots(t *testing.T) {
 	servers, all := acquireOnAll(manyBoxes(39, 10, 1, Demand{InTime: 1}))
 	for id, requests := range servers {
@@ -111,7 +111,7 @@
 	require.Equal(t, 1, granted, "one slot, one request")
 }
 
-// Late requests at one box took the released slots while new requests were queued at another.
+// Guards against late requests at one box that take the released slots while new requests are queued at another.
 func TestLateRequestLeavesFreeSlotsToInTimeRequestsOfPeers(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 12, 1))
 	b.UpdatePeerLoad("others", Load{"a": {Requests: 9}}, true, b.clock.Now())
@@ -135,7 +135,7 @@
 	require.Equal(t, member.FailureDomain("near"), b.acquire(t).Server.Domain)
 }
 
-// A slot released on a server that was no longer listed was granted to the next request.
+// Guards against granting the next request a slot that is released on a server that has been removed from the list.
 func TestReleasedSlotOfUnlistedServerIsNotGranted(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 2, 1), modelServer("b", 2, 1))
 	held := make(map[fleet.ServerID][]*Reservation)
--- a/pkg/route/backend.go
+++ b/pkg/route/backend.go
@@ -37,8 +37,7 @@
 	// starts only after the prefill of the prompts before it.
 	prefillScale = 800 * time.Millisecond
 	// costRemote is the cost of a server in another region: each response crosses a link whose
-	// traffic is billed, and the load reports of the boxes there arrive later than those of the own
-	// region.
+	// traffic is billed, and load reports from boxes in other regions arrive later.
 	costRemote = 0.4
 	// costStalled is the cost of a server that seems stalled: every other server precedes it.
 	costStalled = 2.0
--- a/pkg/route/backoff_test.go
+++ b/pkg/route/backoff_test.go
@@ -68,7 +68,7 @@
 }
 
 // Guards against sending requests to a server that has requested a backoff. A server without requests in flight has the
-// lowest cost at each box; one received 24 requests within its backoff of three seconds.
+// lowest cost at each box, and can then receive 24 requests within its backoff of three seconds.
 func TestServerGetsNoRequestsDuringBackoff(t *testing.T) {
 	w := newPlainDispatcher(t, plainServer("a", 1), plainServer("b", 1))
 	reservation := w.acquire()
@@ -173,8 +173,8 @@
 	w.acquire()
 }
 
-// Guards against a Retry-After that ignores the backoffs of the servers: callers received a Retry-After of 0.1 s while
-// all servers were backing off.
+// Guards against a Retry-After that ignores the backoffs of the servers: callers receive a Retry-After of 0.1 s while
+// all servers are backing off.
 func TestRetryAfterIsEndOfEarliestBackoffIfAllServersBackOff(t *testing.T) {
 	w := newPlainDispatcher(t, plainServer("a", 1), plainServer("b", 1))
 	first, second := w.acquire(), w.acquire()
--- a/pkg/route/dispatch_test.go
+++ b/pkg/route/dispatch_test.go
@@ -324,7 +324,7 @@
 	b.acquire(t)
 }
 
-// Late requests that took slots as if they were in time made later requests late too.
+// Guards against late requests that take slots as if they were in time and so make later requests late too.
 func TestLateRequestUsesOnlySpareCapacity(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 10, 1))
 	late := func() *SlotRequest {
@@ -347,7 +347,8 @@
 	b.acquire(t)
 }
 
-// Callers rejected while the service was full retried at the same time and were rejected for good.
+// Guards against callers that are rejected while the service is full, all retry at the same time and are then rejected
+// for good.
 func TestRetryAfterIsStaggeredForRejectedRequests(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 1, 1))
 	b.acquire(t)
--- a/pkg/route/forecast_test.go
+++ b/pkg/route/forecast_test.go
@@ -26,8 +26,8 @@
 	return w != nil, err
 }
 
-// Late requests were queued for two seconds while new requests took all slots, and more than half
-// of them were rejected in the end.
+// Guards against queueing late requests in vain: new requests take all slots for two seconds, and more
+// than half of the late requests are rejected after the wait.
 func TestLateRequestIsQueuedOnlyIfNewRequestsLeaveASlot(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 10, 1))
 	for range 10 {
@@ -106,8 +106,8 @@
 	require.Equal(t, 2*time.Second, RetryAfter(err, 6*time.Second))
 }
 
-// A box with a high mean time to first byte classified every request as late, and got no slot whose
-// response could have lowered the mean.
+// Guards against a box with a high mean time to first byte that classifies every request as late. It then
+// gets no slot, so no response can lower the mean.
 func TestBoxWithHighMeanTTFBKeepsSendingRequests(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 4, 1))
 	b.ttfb, b.ttfbDeviation = 300*time.Millisecond, 200*time.Millisecond
@@ -120,8 +120,8 @@
 	require.Less(t, b.ttfb+b.ttfbDeviation, 100*time.Millisecond)
 }
 
-// After an outage late requests took all slots at once, and until their responses had started and
-// ended there was none for new requests.
+// Guards against late requests that take all slots at once after an outage. New requests then get no slot
+// until the responses to the late ones have started and ended.
 func TestLateRequestsUseOnlySlotsNotNeededByNewRequests(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 10, 1))
 	late := func() (*Reservation, error) {
@@ -149,8 +149,8 @@
 	require.Equal(t, 3, b.Demand(b.clock.Now()).AwaitingFirstByte)
 }
 
-// Retries that arrived while half of the servers were being swapped were rejected for good, half a
-// second before these servers returned.
+// Guards against rejecting retries for good that arrive while half of the servers are swapping weights,
+// half a second before these servers return.
 func TestLateRequestIsQueuedForServersBackInTime(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 10, 1), modelServer("b", 10, 1))
 	for range 20 {
@@ -197,8 +197,8 @@
 	require.InDelta(t, 400, b.swapTime.Milliseconds(), 10)
 }
 
-// After a power failure retries were rejected at once, a second before the servers had their
-// weights again.
+// Guards against rejecting retries at once after a power failure, a second before the servers have
+// loaded their weights again.
 func TestForecastAssumesOutageLastsAsLongAgain(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 10, 0))
 	list := func() {
@@ -225,8 +225,8 @@
 	require.True(t, b.backends["a"].ineligibleSince.IsZero())
 }
 
-// With one prompt in prefill at every server, 35 late requests started in the time of one prompt
-// where 130 could have, and 500 were rejected.
+// Guards against starting too few late requests: with one prompt in prefill at every server, 35 start in
+// the time of one prompt where 130 could, and 500 are rejected.
 func TestLateRequestLeavesHalfOfSlackToNewRequests(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 100, 1))
 	for range 100 {
--- a/pkg/route/incarnation_test.go
+++ b/pkg/route/incarnation_test.go
@@ -23,8 +23,8 @@
 
 func allLocal(member.FailureDomain) bool { return true }
 
-// A server that had restarted under the same ID was assumed to have the weights and the requests in
-// flight of its earlier incarnation.
+// Guards against assuming that a server that has restarted under the same ID still has the weights and the
+// requests in flight of its earlier incarnation.
 func TestStateOfEarlierIncarnationIsDiscarded(t *testing.T) {
 	now := time.Unix(100, 0)
 	for name, restart := range map[string]func(d *Dispatcher){
--- a/pkg/route/peerload_test.go
+++ b/pkg/route/peerload_test.go
@@ -87,8 +87,8 @@
 	require.Empty(t, b.OwnLoad())
 }
 
-// Boxes that could not reach each other each filled the servers as if the others sent nothing: up
-// to four requests that a server reported beyond those claimed were attributed to old reports.
+// Guards against boxes that cannot reach each other and each fill the servers as if the others sent nothing:
+// up to four requests that a server reports beyond those claimed are attributed to old reports.
 func TestUnclaimedRequestsOfServerCount(t *testing.T) {
 	b := newTestDispatcher(true, modelServer("a", 16, 1))
 	b.UpdatePeerLoad("entry-2", Load{"a": {Requests: 5}}, true, b.clock.Now())
@@ -103,9 +103,9 @@
 	require.Equal(t, 5, b.load(b.backends["a"], b.clock.Now()).Requests)
 }
 
-// After a stall of two seconds a box considered servers empty that other boxes had filled: it
-// discarded their expired reports when it resumed, and the messages queued by then contained only
-// changes.
+// Guards against a box that considers servers empty after a stall of two seconds although other boxes have
+// filled them. If it discards the expired reports of these boxes when it resumes, the load is lost, because the
+// messages queued by then contain only changes.
 func TestExpiredPeerLoadIsRestoredByNextReport(t *testing.T) {
 	now := time.Unix(1000, 0)
 	peers := newPeerLoads()
--- a/pkg/route/quarantine.go
+++ b/pkg/route/quarantine.go
@@ -338,8 +338,8 @@
 	return slices.ContainsFunc(s.exits, func(e exit) bool { return e.incarnation == incarnation })
 }
 
-// Since returns the evidence on all requests that have changed after a cursor, the least recent change first, and the
-// new cursor. The first cursor is 0.
+// Since returns all evidence on each request whose evidence has changed after the cursor, oldest change first, and the
+// cursor for the next call. The first cursor is 0.
 func (q *Quarantine) Since(cursor uint64) (evidence []Evidence, next uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/pkg/route/quarantine_test.go
+++ b/pkg/route/quarantine_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Guards against boxes that exchange the same evidence endlessly or reach different decisions. The time of an observation
-// shifts a little with each message, as messages contain the age of an observation rather than its time.
+// Guards against boxes that exchange the same evidence endlessly or reach different decisions. The time of an
+// observation shifts a little with each message, as messages contain the age of an observation rather than its time.
 func TestEvidenceExchangeConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		boxes := make([]Quarantine, 3)
--- a/pkg/route/rejectedcallers.go
+++ b/pkg/route/rejectedcallers.go
@@ -132,8 +132,9 @@
 	return time.Time{}, false
 }
 
-// Since returns the callers to report in a dimension that were added after a cursor, and the new cursor. The first
-// cursor is 0. Callers before the latest maxReportedCallers are omitted.
+// Since returns the callers that were added after the cursor, limited to those that are reported in the given relay
+// dimension, and the cursor for the next call. The first cursor is 0. Callers before the latest maxReportedCallers are
+// omitted.
 func (r *RejectedCallers) Since(cursor uint64, to RelayDimension) (callers []RejectedCaller, next uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/weights/origin_test.go
+++ b/pkg/weights/origin_test.go
@@ -132,9 +132,9 @@
 	return s
 }
 
-// When a second fetcher counted its wait from the start of the download instead of the chunk's scheduled time,
-// one chunk in five was fetched twice. The last chunks then had not left an origin that became unavailable 2.5 s
-// after the publication, although one download takes 2.1 s over its link.
+// Guards against second fetchers that count their wait from the start of the download instead of the chunk's
+// scheduled time. One chunk in five is then fetched twice, and the last chunks have not left an origin that becomes
+// unavailable 2.5 s after the publication, although one download takes 2.1 s over its link.
 func TestOriginAvailableForOneDownloadSendsEveryChunk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		publishedAt := time.Unix(1000, 0)
@@ -168,8 +168,9 @@
 	require.LessOrEqual(t, s.originFetches, chunkCount*110/100)
 }
 
-// When boxes were killed during a download, the second fetchers fetched the remaining chunks 1.7 s after their
-// scheduled time. The origin was unavailable by then, and the fleet waited eight seconds for two chunks.
+// Guards against second fetchers that take over too late when boxes are killed during a download. If they fetch the
+// remaining chunks 1.7 s after the scheduled time, the origin is already unavailable, and the fleet waits eight seconds
+// for two chunks.
 func TestChunksOfKilledFetchersAreFetchedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		publishedAt := time.Unix(1000, 0)
--- a/pkg/weights/picker.go
+++ b/pkg/weights/picker.go
@@ -86,8 +86,8 @@
 	// holds yet is most likely in transit through other boxes.
 	lastProgress time.Time
 	// waitStart is the time from which waits for earlier ranks count: the start of the download, or the retry
-	// time after the last failed origin fetch. An origin that is down is down for all boxes, and when it
-	// recovers, each chunk is again fetched by its first fetcher.
+	// time after the last failed origin fetch. An outage of the origin affects all boxes, so after it the first
+	// fetcher of each chunk is again the first to fetch it.
 	waitStart time.Time
 	// scheduleStart is when the schedule of origin fetches starts. A failed fetch does not reset it: after a
 	// reset, a late chunk waited for its full offset again, and 204 boxes waited for that one chunk.
@@ -106,9 +106,9 @@
 	ranks []int
 	// regionRanks holds the rank of this box for each chunk among the boxes of its region.
 	regionRanks []int
-	// remoteChunks holds the chunks to fetch from another region, by the box to fetch them from.
+	// remoteChunks maps each box in another region to the chunks to fetch from it.
 	remoteChunks map[string][]int
-	// hedgedChunks holds the chunks for which this box is the second fetcher, by the first fetcher.
+	// hedgedChunks maps each first fetcher to those of its chunks for which this box is the second fetcher.
 	hedgedChunks map[string][]int
 	// firstFetchers holds the first fetcher of each chunk in hedgedChunks.
 	firstFetchers map[int]string
--- a/pkg/weights/weights_test.go
+++ b/pkg/weights/weights_test.go
@@ -289,8 +289,8 @@
 	}
 }
 
-// When all chunks were fetched at once, they shared the origin's link and the first chunk arrived as late as the
-// last.
+// Guards against fetching all chunks at once: they share the origin's link, and the first chunk arrives as late as
+// the last.
 func TestOriginFetchesArePaced(t *testing.T) {
 	m := buildManifest(t, 64, randomBytes(1, 512))
 	options := DefaultPickerOptions()
@@ -328,8 +328,8 @@
 	require.True(t, ok)
 }
 
-// While an origin was unavailable, every box tried every chunk. After the origin recovered, all boxes fetched all
-// chunks at once: three copies were sent, and the first complete one took 3.4 s.
+// Guards against every box trying every chunk while the origin is unavailable. After the origin recovers, all boxes
+// then fetch all chunks at once: it sends three copies, and the first complete one takes 3.4 s.
 func TestRecoveredOriginSendsEachChunkToItsFirstFetcher(t *testing.T) {
 	m := buildManifest(t, 64, randomBytes(1, 4096))
 	options := DefaultPickerOptions()
